--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,4 +1,4 @@
-// The verdicts. What goes over the wire is in beats.cpp.
+// The states of members and links. The exchange of heartbeats is in heartbeats.cpp.
 #include "membership/membership.h"
 
 #include <algorithm>
@@ -7,10 +7,10 @@
 
 namespace cluster_manager::membership {
 
-const char* Text(State state) {
+const char* StateName(State state) {
   switch (state) {
     case State::kUnknown:
-      return "not heard of";
+      return "unknown";
     case State::kUp:
       return "up";
     case State::kSlow:
@@ -25,180 +25,195 @@
   return "";
 }
 
-Membership::Membership(const Terms& terms, MemberId self, std::uint64_t incarnation,
+Membership::Membership(const Parameters& parameters, MemberId self, std::uint64_t incarnation,
                        std::vector<MemberId> configured, Time now)
-    : terms_(terms), self_(self), life_{incarnation, 0}, started_(now), beat_at_(now - terms.period) {
+    : parameters_(parameters),
+      self_(self),
+      incarnation_{incarnation, 0},
+      started_at_(now),
+      last_heartbeat_at_(now - parameters.heartbeat_interval) {
   Configure(std::move(configured), now);
 }
 
 void Membership::Configure(std::vector<MemberId> configured, Time now) {
   std::erase(configured, self_);
-  std::erase_if(rows_, [&](const auto& each) {
+  std::erase_if(records_, [&](const auto& each) {
     if (std::ranges::find(configured, each.first) != configured.end()) return false;
-    Say("member " + std::to_string(each.first) + " is configured no more");
+    AddLogLine("member " + std::to_string(each.first) + " is no longer configured");
     return true;
   });
   for (const MemberId member : configured) {
-    const auto [it, made] = rows_.try_emplace(member);
-    if (made) it->second.since = it->second.known = now;
+    const auto [it, inserted] = records_.try_emplace(member);
+    if (inserted) it->second.state_since = it->second.last_sent_at = now;
   }
-  for (auto& [member, row] : rows_) {
-    std::erase_if(row.hears,
-                  [&](const auto& each) { return each.first != self_ && !rows_.contains(each.first); });
-    std::erase_if(row.doubted, [&](const auto& each) { return !rows_.contains(each.first); });
+  for (auto& [member, record] : records_) {
+    std::erase_if(record.hears,
+                  [&](const auto& each) { return each.first != self_ && !records_.contains(each.first); });
+    std::erase_if(record.suspected_by, [&](const auto& each) { return !records_.contains(each.first); });
   }
 }
 
-Time Membership::Gap() const {
-  const Time others = std::max<Time>(1, static_cast<Time>(rows_.size()));
-  return terms_.period * ((others + terms_.fanout - 1) / terms_.fanout);
+Time Membership::PairInterval() const {
+  const Time others = std::max<Time>(1, static_cast<Time>(records_.size()));
+  return parameters_.heartbeat_interval * ((others + parameters_.fanout - 1) / parameters_.fanout);
 }
 
-// Accrual in small: as long as its beats have come unevenly, and longer after each time that it was wrong.
-Time Membership::Patience(const Row& row) const {
-  const Time usual = terms_.misses * Gap();
-  const Time uneven = static_cast<Time>(row.gap_mean + 4 * row.gap_spread);
-  Time patience = std::max(usual, uneven);
-  for (int i = 0; i < row.wrong; ++i) patience += patience / 2;
-  return std::min(patience, 3 * usual);
+// A simple accrual failure detector: longer where heartbeats arrive irregularly, and half as long again for
+// each recent false suspicion.
+Time Membership::SuspicionTimeout(const MemberRecord& record) const {
+  const Time base = parameters_.missed_heartbeats * PairInterval();
+  const Time observed = static_cast<Time>(record.interval_mean + 4 * record.interval_deviation);
+  Time timeout = std::max(base, observed);
+  for (int i = 0; i < record.false_suspicions; ++i) timeout += timeout / 2;
+  return std::min(timeout, 3 * base);
 }
 
-void Membership::Say(const std::string& line) {
-  constexpr std::size_t kMost = 256;
-  if (log_.size() < kMost) {
-    log_.push_back(line);
+void Membership::AddLogLine(const std::string& line) {
+  constexpr std::size_t kMaxLogLines = 256;
+  if (log_lines_.size() < kMaxLogLines) {
+    log_lines_.push_back(line);
   } else {
-    ++counters_.log_lost;
+    ++counters_.log_lines_dropped;
   }
 }
 
-std::vector<std::string> Membership::Log() { return std::exchange(log_, {}); }
+std::vector<std::string> Membership::DrainLogLines() { return std::exchange(log_lines_, {}); }
 
-void Membership::Enter(MemberId member, Row* row, State state, Time now, const std::string& why) {
-  if (row->state == state) return;
-  Say("member " + std::to_string(member) + " is " + Text(state) + ", was " + Text(row->state) + ": " + why);
+void Membership::SetState(MemberId member, MemberRecord* record, State state, Time now,
+                          const std::string& reason) {
+  if (record->state == state) return;
+  AddLogLine("member " + std::to_string(member) + " is " + StateName(state) + ", was " +
+             StateName(record->state) + ": " + reason);
   if (state == State::kSuspected) {
     ++counters_.suspicions;
-    row->doubted.clear();
+    record->suspected_by.clear();
   }
   const bool alive = state == State::kUp || state == State::kSlow;
-  if (row->state == State::kSuspected && alive) {
-    ++counters_.wrong_suspicions;
-    row->wrong = std::min(row->wrong + 1, 3);
-    row->wrong_at = now;
+  if (record->state == State::kSuspected && alive) {
+    ++counters_.false_suspicions;
+    record->false_suspicions = std::min(record->false_suspicions + 1, 3);
+    record->false_suspicion_at = now;
   }
   if (state == State::kDead) ++counters_.deaths;
-  row->state = state;
-  row->since = now;
+  record->state = state;
+  record->state_since = now;
 }
 
-void Membership::Judge(MemberId member, Row* row, Time now) {
-  if (row->state == State::kLeft || row->state == State::kUnknown) return;
-  constexpr Time kForgive = 60'000'000'000;
-  if (row->wrong > 0 && now - row->wrong_at > kForgive) {
-    --row->wrong;
-    row->wrong_at = now;
+void Membership::UpdateState(MemberId member, MemberRecord* record, Time now) {
+  if (record->state == State::kLeft || record->state == State::kUnknown) return;
+  constexpr Time kFalseSuspicionLifetime = 60'000'000'000;
+  if (record->false_suspicions > 0 && now - record->false_suspicion_at > kFalseSuspicionLifetime) {
+    --record->false_suspicions;
+    record->false_suspicion_at = now;
   }
-  const Time patience = Patience(*row);
-  const Time silent = now - row->known;
-  if (silent <= patience) {
-    Time trip = INT64_MAX;
-    for (std::size_t i = 0; i < std::min(row->trip_count, row->trips.size()); ++i)
-      trip = std::min(trip, row->trips[i].round);
-    const bool late = row->gap_mean > 2.0 * static_cast<double>(Gap());
-    const bool far = trip != INT64_MAX && trip > terms_.slow_trip;
-    const std::string why = far    ? "its round trips take " + std::to_string(trip / 1'000'000) + " ms"
-                            : late ? "its beats come late"
-                                   : "it is heard of";
-    Enter(member, row, far || late ? State::kSlow : State::kUp, now, why);
+  const Time timeout = SuspicionTimeout(*record);
+  const Time silence = now - record->last_sent_at;
+  if (silence <= timeout) {
+    Time round_trip = INT64_MAX;
+    for (std::size_t i = 0; i < std::min(record->clock_sample_count, record->clock_samples.size()); ++i)
+      round_trip = std::min(round_trip, record->clock_samples[i].round_trip);
+    const bool late = record->interval_mean > 2.0 * static_cast<double>(PairInterval());
+    const bool slow_link = round_trip != INT64_MAX && round_trip > parameters_.slow_round_trip;
+    const std::string reason =
+        slow_link ? "shortest recent round trip " + std::to_string(round_trip / 1'000'000) + " ms"
+        : late    ? "heartbeats arrive late"
+                  : "heartbeats arrive in time";
+    SetState(member, record, slow_link || late ? State::kSlow : State::kUp, now, reason);
     return;
   }
-  if (row->state == State::kUp || row->state == State::kSlow) {
-    Enter(member, row, State::kSuspected, now,
-          "silent for " + std::to_string(silent / 1'000'000) + " ms, by any way");
+  if (record->state == State::kUp || record->state == State::kSlow) {
+    SetState(member, record, State::kSuspected, now,
+             "no direct or relayed heartbeat for " + std::to_string(silence / 1'000'000) + " ms");
     return;
   }
-  if (row->state != State::kSuspected || now - row->since < terms_.confirm) return;
-  // The others that are heard must have told, since the suspicion, that they hear nothing of it either: all
-  // of them within a gap more, or most of them after. Hearing nobody, the loss may be ours.
-  std::size_t asked = 0;
-  std::size_t agree = 0;
-  for (const auto& [other, its] : rows_) {
-    if (other == member || !Heard(its, now)) continue;
-    ++asked;
-    const auto it = row->doubted.find(other);
-    agree += it != row->doubted.end() && it->second >= row->since;
+  if (record->state != State::kSuspected || now - record->state_since < parameters_.dead_after) return;
+  // Dead only where the other members that are heard have reported since the suspicion that they do not hear
+  // it either: all of them, or, after two more pair intervals, most of them. A member that hears no other
+  // declares none dead, as the fault may be its own.
+  std::size_t heard = 0;
+  std::size_t agreeing = 0;
+  for (const auto& [other, other_record] : records_) {
+    if (other == member || !IsHeard(other_record, now)) continue;
+    ++heard;
+    const auto it = record->suspected_by.find(other);
+    agreeing += it != record->suspected_by.end() && it->second >= record->state_since;
   }
-  if (asked == 0) return;
-  const bool late = now - row->since > terms_.confirm + 2 * Gap();
-  if (agree == asked || (late && 2 * agree > asked))
-    Enter(member, row, State::kDead, now,
-          std::to_string(agree) + " of " + std::to_string(asked) + " that are heard say the same");
+  if (heard == 0) return;
+  const bool late = now - record->state_since > parameters_.dead_after + 2 * PairInterval();
+  if (agreeing == heard || (late && 2 * agreeing > heard))
+    SetState(member, record, State::kDead, now,
+             std::to_string(agreeing) + " of " + std::to_string(heard) + " heard members suspect it too");
 }
 
 State Membership::StateOf(MemberId member) const {
   if (member == self_) return leaving_ ? State::kLeft : State::kUp;
-  const auto it = rows_.find(member);
-  return it == rows_.end() ? State::kUnknown : it->second.state;
+  const auto it = records_.find(member);
+  return it == records_.end() ? State::kUnknown : it->second.state;
 }
 
 Membership::Link Membership::LinkTo(MemberId member, Time now) const {
-  const auto it = rows_.find(member);
-  if (it == rows_.end()) return Link::kNone;
-  const Row& row = it->second;
-  const bool from = Heard(row, now);
-  // Its word on whether it hears us comes from itself or through others; an old one tells nothing.
-  const bool to = row.hears_us && now - row.hears_us_at <= Patience(row) + 2 * Gap();
-  return from ? to ? Link::kBoth : Link::kOnlyFrom : to ? Link::kOnlyTo : Link::kNone;
+  const auto it = records_.find(member);
+  if (it == records_.end()) return Link::kNone;
+  const MemberRecord& record = it->second;
+  const bool inbound = IsHeard(record, now);
+  // The member's report that it hears this one arrives directly or through others, and is ignored when
+  // outdated.
+  const bool outbound =
+      record.hears_self && now - record.hears_self_at <= SuspicionTimeout(record) + 2 * PairInterval();
+  return inbound ? outbound ? Link::kBoth : Link::kInbound : outbound ? Link::kOutbound : Link::kNone;
 }
 
-bool Membership::Majority(Time now) const {
-  std::size_t both = 1;
-  for (const auto& [member, row] : rows_)
-    both += row.state != State::kLeft && LinkTo(member, now) == Link::kBoth;
-  return 2 * both > rows_.size() + 1;
+bool Membership::HasQuorum(Time now) const {
+  std::size_t connected = 1;
+  for (const auto& [member, record] : records_)
+    connected += record.state != State::kLeft && LinkTo(member, now) == Link::kBoth;
+  return 2 * connected > records_.size() + 1;
 }
 
-bool Membership::Alone(Time now) const {
-  return !rows_.empty() &&
-         std::ranges::none_of(rows_, [&](const auto& each) { return Heard(each.second, now); });
+bool Membership::IsIsolated(Time now) const {
+  return !records_.empty() &&
+         std::ranges::none_of(records_, [&](const auto& each) { return IsHeard(each.second, now); });
 }
 
-// Against the median of all clocks whose offset is known, its own being 0: while more than half are right,
-// the median is one that is, or lies between such.
-bool Membership::ClockApart(MemberId member) const {
+// Compares with the median of all clocks whose offset is known, where this member's own has the offset 0.
+// While more than half of the clocks are right, the median is a right one or lies between two right ones.
+bool Membership::ClockOutOfSync(MemberId member) const {
   struct Clock {
-    Time offset, doubt;
+    Time offset, uncertainty;
   };
   std::vector<Time> offsets{0};
-  Clock its{0, 0};
+  Clock clock{0, 0};
   bool known = member == self_;
-  for (const auto& [id, row] : rows_) {
-    const std::size_t count = std::min(row.trip_count, row.trips.size());
-    if (count == 0 || row.state == State::kDead || row.state == State::kLeft) continue;
+  for (const auto& [id, record] : records_) {
+    const std::size_t count = std::min(record.clock_sample_count, record.clock_samples.size());
+    if (count == 0 || record.state == State::kDead || record.state == State::kLeft) continue;
     const auto best = std::ranges::min_element(
-        row.trips.begin(), row.trips.begin() + static_cast<std::ptrdiff_t>(count), {}, &Row::Trip::round);
+        record.clock_samples.begin(), record.clock_samples.begin() + static_cast<std::ptrdiff_t>(count), {},
+        &MemberRecord::ClockSample::round_trip);
     offsets.push_back(best->offset);
-    if (id == member) its = {best->offset, best->round / 2}, known = true;
+    if (id == member) clock = {best->offset, best->round_trip / 2}, known = true;
   }
   if (!known || offsets.size() < 3) {
-    // Of two clocks nobody knows which is right; both are apart where they cannot both be within the skew.
-    return offsets.size() == 2 && std::abs(offsets[1]) - its.doubt > 2 * terms_.skew && known;
+    // With two clocks it is unknown which one is right: both are out of sync where they cannot both be within
+    // the skew.
+    return offsets.size() == 2 && std::abs(offsets[1]) - clock.uncertainty > 2 * parameters_.max_clock_skew &&
+           known;
   }
   std::ranges::sort(offsets);
   const std::size_t half = offsets.size() / 2;
   const Time median =
       offsets.size() % 2 == 1 ? offsets[half] : offsets[half - 1] + (offsets[half] - offsets[half - 1]) / 2;
-  return std::abs(its.offset - median) - its.doubt > terms_.skew;
+  return std::abs(clock.offset - median) - clock.uncertainty > parameters_.max_clock_skew;
 }
 
-std::vector<MemberId> Membership::Barred() const {
-  std::vector<MemberId> out;
-  for (const auto& [member, row] : rows_) {
-    if (row.state == State::kDead || row.state == State::kLeft || ClockApart(member)) out.push_back(member);
+std::vector<MemberId> Membership::ExcludedMembers() const {
+  std::vector<MemberId> excluded;
+  for (const auto& [member, record] : records_) {
+    if (record.state == State::kDead || record.state == State::kLeft || ClockOutOfSync(member))
+      excluded.push_back(member);
   }
-  if (ClockApart(self_)) out.insert(std::ranges::lower_bound(out, self_), self_);
-  return out;
+  if (ClockOutOfSync(self_)) excluded.insert(std::ranges::lower_bound(excluded, self_), self_);
+  return excluded;
 }
 
 }  // namespace cluster_manager::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,30 +1,32 @@
-// Who of the configured members is up, slow, suspected, dead or has left, as one member sees it: heartbeats
-// with incarnations, which carry whom their sender hears. Decides nothing about parts: the ledger's leader
-// bars whom it lists as dead or with a clock apart, and a member without a majority says so.
+// Which of the configured members are up, slow, suspected, dead or have left, in the view of one member. It
+// is based on heartbeats that carry incarnations and what their sender knows of the other members. It decides
+// nothing about budgets: the leader of the ledger excludes the members that are dead or whose clock is out of
+// sync, and a member without a quorum reports that in its status.
 //
-// How long a verdict may be wrong, with `gap` = period * ceil((members - 1) / fanout) between two beats of a
-// pair, and `patience` = misses * gap, longer for a member whose beats come unevenly, at most three times
-// that:
-// - up, though it is dead: until patience + confirm after its last beat, by whichever way that came; a
-// relayed
-//   beat counts with its age. Cost: its leases are not renewed meanwhile, as renewing is its own word.
-// - dead, though it is up: only where neither we nor any member that we hear has heard of it for its patience
-//   and `confirm`; ended by its next beat, or by its refutation through others one gap later. Cost: no lease
-//   of its own is taken, none is renewed.
-// - suspected, though it is up: as long as a beat is late; each time that it proves wrong makes its patience
-//   half longer, up to three times, and a minute without one takes that back.
-// - slow, though it is not, or not said to be: ten beats, over which the mean of the gaps is taken.
-// - left: only by its own word; taken back by a higher incarnation alone.
-// - cut one way: until the next beat after `patience` from either side; the other side's relays need a gap
-// more.
-// - clock apart: told when its offset from the median of the known clocks is over `skew` by more than half
-// the
-//   least of its last eight round trips: an offset that much beyond passes, and one within `skew` of true
-//   time may be told where the median leans the other way. Cost: no leases. Of two clocks, when they are 2 *
-//   skew apart, for both. Without a round trip nothing is told.
-// - alone, hearing nobody: the others stay suspected, as from here our own loss looks the same.
+// How long a state may be wrong. `interval` = heartbeat_interval * ceil((members - 1) / fanout) is the time
+// between two heartbeats of a pair; `timeout` = missed_heartbeats * interval is the suspicion time-out. It is
+// longer for a member whose heartbeats arrive irregularly, at most three times as long.
+// - up, though the member is dead: until timeout + dead_after from its last heartbeat, received directly or
+//   through another member; a relayed heartbeat counts with its age. Cost: its leases are not renewed
+//   meanwhile, as only its own reports renew them.
+// - dead, though it is up: only where neither this member nor the members that it hears have heard of it
+//   for the time-out and `dead_after`. It ends with the member's next heartbeat, or with its refutation
+//   through other members one interval later. Cost: its leases are not taken away, but none is renewed.
+// - suspected, though it is up: as long as a heartbeat is late. Each false suspicion makes the member's
+//   time-out half as long again, for at most three of them; each minute without one removes one of them.
+// - slow, or not slow, wrongly: ten heartbeats, over which the mean of the intervals is taken.
+// - left: only by the member's own message; ended only by a greater incarnation.
+// - link broken in one direction: until the next heartbeat after `timeout` from either side; what other
+//   members relay needs one interval more.
+// - clock out of sync: reported when the offset from the median of the known clocks exceeds `max_clock_skew`
+//   by more than half of the shortest of the last eight round trips. An offset within that margin is not
+//   reported; a clock within the skew of true time may be reported where the median deviates to the other
+//   side. Cost: no leases. With two known clocks both are reported where they differ by more than twice the
+//   skew; without a round trip nothing is reported.
+// - isolated (hears no member): the others stay suspected, as a fault of this member's links looks the same.
 //
-// Tables: a row a configured member, with who it hears; nothing else grows. Beats a period: at most `fanout`.
+// Bounds: one record per configured member, with the members that it hears. At most `fanout` heartbeats are
+// sent per heartbeat interval. At most 256 log lines are kept.
 #pragma once
 
 #include <array>
@@ -38,118 +40,137 @@
 using Time = std::int64_t;  // Unix nanoseconds
 using MemberId = std::uint32_t;
 
-struct Terms {
-  Time period = 200'000'000;
-  int fanout = 16;               // beats sent in a period at most
-  int misses = 4;                // of a pair's beats in a row, before it is suspected
-  Time confirm = 400'000'000;    // suspected for this long, and none says otherwise: dead
-  Time skew = 200'000'000;       // of a clock from true time, at most
-  Time slow_trip = 500'000'000;  // round trips that are called slow
+struct Parameters {
+  Time heartbeat_interval = 200'000'000;
+  int fanout = 16;                     // heartbeats sent per heartbeat interval, at most
+  int missed_heartbeats = 4;           // of a pair, in a row, before the sender is suspected
+  Time dead_after = 400'000'000;       // from the suspicion, where no other member contradicts it
+  Time max_clock_skew = 200'000'000;   // largest permitted difference of a clock from true time
+  Time slow_round_trip = 500'000'000;  // longer round trips make a member slow
 };
 
 enum class State { kUnknown, kUp, kSlow, kSuspected, kDead, kLeft };
-const char* Text(State state);
-
-// A life: `incarnation` grows with each start, `word` each time the member refutes that it is dead.
-struct Life {
-  std::uint64_t incarnation = 0, word = 0;
-  auto operator<=>(const Life&) const = default;  // NOLINT(modernize-use-nullptr): no pointer here
+// The state as log lines show it.
+const char* StateName(State state);
+
+// `number` grows with each start of a member, `refutations` each time that it refutes being suspected or
+// dead.
+struct Incarnation {
+  std::uint64_t number = 0, refutations = 0;
+  auto operator<=>(const Incarnation&) const = default;  // NOLINT(modernize-use-nullptr): no pointer here
 };
 
-struct Beat {
-  struct View {  // what the sender knows of a member
+struct Heartbeat {
+  // What the sender knows of another member.
+  struct MemberView {
     MemberId member = 0;
-    Life life;
-    std::uint64_t sequence = 0;  // the newest beat known of, by any way
-    Time age = 0;                // since it was sent, as far as is known
+    Incarnation incarnation;
+    std::uint64_t sequence = 0;  // the newest heartbeat known, direct or relayed
+    Time age = 0;                // since that was sent, as far as is known
     State state = State::kUnknown;
-    bool heard = false;      // lately, by the sender itself
-    bool hears_you = false;  // by its own word, whom this beat goes to
+    bool heard_by_sender = false;  // directly and recently
+    bool hears_receiver = false;   // by the member's own report; the receiver is the one of this heartbeat
   };
   MemberId from = 0, to = 0;
-  Life life;
+  Incarnation incarnation;
   std::uint64_t sequence = 0;
-  Time sent = 0;                          // by the sender's clock
-  Time echo_sent = 0, echo_received = 0;  // the last of ours it had: our clock, its clock; 0: none
+  Time sent_at = 0;  // by the sender's clock
+  // The receiver's last heartbeat that the sender received: when it was sent, by the receiver's clock, and
+  // when it arrived, by the sender's clock; 0: none.
+  Time echo_sent_at = 0, echo_received_at = 0;
   bool leaving = false;
-  std::vector<View> views;
+  std::vector<MemberView> views;
 };
 
+// The membership view of one member. Not thread-safe; all times are passed by the caller.
 class Membership {
  public:
-  Membership(const Terms& terms, MemberId self, std::uint64_t incarnation, std::vector<MemberId> configured,
-             Time now);
-
-  std::vector<Beat> Tick(Time now);       // the beats that are due; call it each period or more often
-  bool Hear(const Beat& beat, Time now);  // false: old, doubled, of a stranger
-  std::vector<Beat> Leave(Time now);      // says goodbye to all
+  Membership(const Parameters& parameters, MemberId self, std::uint64_t incarnation,
+             std::vector<MemberId> configured, Time now);
+
+  // Updates the states and returns the heartbeats that are due. Call it at least once per heartbeat interval.
+  std::vector<Heartbeat> Tick(Time now);
+  // Returns false for heartbeats that are stale, duplicate, for another member or of an unknown one.
+  bool OnHeartbeat(const Heartbeat& heartbeat, Time now);
+  // Returns the heartbeats that announce to all members that this one leaves. Tick returns none afterwards.
+  std::vector<Heartbeat> Leave(Time now);
+  // Replaces the configured members. Records of members that stay are kept.
   void Configure(std::vector<MemberId> configured, Time now);
 
-  struct Row {
+  struct MemberRecord {
     State state = State::kUnknown;
-    Time since = 0;
-    Life life;
-    std::uint64_t sequence = 0;           // the newest by any way
-    Time heard = 0;                       // a beat came here, by our clock
-    Time known = 0;                       // the newest beat was sent, by our clock and the ages told
-    double gap_mean = 0, gap_spread = 0;  // nanoseconds between beats that came here
-    int wrong = 0;                        // suspicions that proved wrong lately
-    Time wrong_at = 0;
-    bool hears_us = false;  // by its own word
-    Time hears_us_at = 0;
-    std::map<MemberId, bool> hears;  // by its own word
-    Time its_sent = 0, its_received = 0;
-    std::uint64_t direct = 0;  // the newest sequence that came here
-    struct Trip {
-      Time offset = 0, round = 0;
+    Time state_since = 0;
+    Incarnation incarnation;
+    std::uint64_t sequence = 0;  // the newest known, direct or relayed
+    Time heard_at = 0;           // the last heartbeat arrived here, by this member's clock
+    Time last_sent_at = 0;       // of the newest known heartbeat, by this member's clock and relayed ages
+    double interval_mean = 0, interval_deviation = 0;  // nanoseconds between heartbeats that arrived here
+    int false_suspicions = 0;                          // recent ones, at most 3
+    Time false_suspicion_at = 0;
+    bool hears_self = false;  // by its own report, direct or relayed
+    Time hears_self_at = 0;
+    std::map<MemberId, bool> hears;               // by its own report
+    Time echo_sent_at = 0, echo_received_at = 0;  // to be echoed: its last heartbeat's times by both clocks
+    std::uint64_t direct_sequence = 0;            // the newest that arrived here
+    struct ClockSample {
+      Time offset = 0, round_trip = 0;
     };
-    std::array<Trip, 8> trips{};
-    std::size_t trip_count = 0;
-    std::map<MemberId, Time> doubted;  // who told that it hears nothing of it either, and when
+    std::array<ClockSample, 8> clock_samples{};
+    std::size_t clock_sample_count = 0;
+    // Members that do not hear it either, and when they last reported so.
+    std::map<MemberId, Time> suspected_by;
   };
-  const Row& row(MemberId member) const { return rows_.at(member); }
+  // Throws std::out_of_range for a member that is not configured, and for this member itself.
+  const MemberRecord& record(MemberId member) const { return records_.at(member); }
+  // kUnknown for members that are not configured.
   State StateOf(MemberId member) const;
-  Life life() const { return life_; }
+  Incarnation incarnation() const { return incarnation_; }
 
-  enum class Link { kBoth, kOnlyTo, kOnlyFrom, kNone };  // kOnlyTo: it hears us, we do not hear it
+  // kOutbound: the member hears this one, this one does not hear it; kInbound: the reverse.
+  enum class Link { kBoth, kOutbound, kInbound, kNone };
   Link LinkTo(MemberId member, Time now) const;
-  // Links both ways with more than half of the configured, itself counted.
-  bool Majority(Time now) const;
-  bool Alone(Time now) const;  // hears nobody
+  // Whether this member has links in both directions with enough members to form a majority, itself included.
+  bool HasQuorum(Time now) const;
+  // Hears no other member.
+  bool IsIsolated(Time now) const;
 
-  bool ClockApart(MemberId member) const;  // its own too
-  // Dead, or with a clock apart: nothing is to be lent to them.
-  std::vector<MemberId> Barred() const;
-  std::vector<std::string> Log();  // what changed since the last call, a line each
+  bool ClockOutOfSync(MemberId member) const;  // of this member too
+  // The members that are dead, have left, or have a clock out of sync: nothing is leased to them.
+  std::vector<MemberId> ExcludedMembers() const;
+  // What changed since the last call, a line each.
+  std::vector<std::string> DrainLogLines();
 
   struct Counters {
-    std::uint64_t sent = 0, heard = 0, old = 0, strangers = 0, suspicions = 0, wrong_suspicions = 0,
-                  deaths = 0, wrong_deaths = 0, refutations = 0, log_lost = 0;
+    std::uint64_t sent = 0, received = 0, stale = 0, unknown_senders = 0, suspicions = 0,
+                  false_suspicions = 0, deaths = 0, false_deaths = 0, refutations = 0, log_lines_dropped = 0;
   };
   const Counters& counters() const { return counters_; }
 
  private:
-  Time Gap() const;
-  Time Patience(const Row& row) const;
-  bool Heard(const Row& row, Time now) const { return row.heard > 0 && now - row.heard <= Patience(row); }
-  Beat Make(MemberId to, Time now) const;
-  void Learn(MemberId member, Life life, std::uint64_t sequence, Time sent, Time now);
-  void Direct(const Beat& beat, Row* row, Time now);
-  void Views(const Beat& beat, Time now);
-  void Judge(MemberId member, Row* row, Time now);
-  void Enter(MemberId member, Row* row, State state, Time now, const std::string& why);
-  void Say(const std::string& line);
-
-  Terms terms_;
+  Time PairInterval() const;
+  Time SuspicionTimeout(const MemberRecord& record) const;
+  bool IsHeard(const MemberRecord& record, Time now) const {
+    return record.heard_at > 0 && now - record.heard_at <= SuspicionTimeout(record);
+  }
+  Heartbeat BuildHeartbeat(MemberId to, Time now) const;
+  void RecordLiveness(MemberId member, Incarnation incarnation, std::uint64_t sequence, Time sent_at,
+                      Time now);
+  void RecordDirectHeartbeat(const Heartbeat& heartbeat, MemberRecord* record, Time now);
+  void ApplyViews(const Heartbeat& heartbeat, Time now);
+  void UpdateState(MemberId member, MemberRecord* record, Time now);
+  void SetState(MemberId member, MemberRecord* record, State state, Time now, const std::string& reason);
+  void AddLogLine(const std::string& line);
+
+  Parameters parameters_;
   MemberId self_;
-  Life life_;
-  Time started_;
-  std::map<MemberId, Row> rows_;  // without itself
+  Incarnation incarnation_;
+  Time started_at_;
+  std::map<MemberId, MemberRecord> records_;  // without this member
   std::uint64_t sequence_ = 0;
-  Time beat_at_ = 0;
-  MemberId turn_ = 0;  // the last that a beat went to
+  Time last_heartbeat_at_ = 0;
+  MemberId last_receiver_ = 0;
   bool leaving_ = false;
-  std::vector<std::string> log_;
+  std::vector<std::string> log_lines_;
   Counters counters_;
 };
 
