--- a/tests/many_schedulers_test.cpp
+++ b/tests/many_schedulers_test.cpp
@@ -1,5 +1,5 @@
-// Many schedulers over one fleet in zones: each binds in a part of its own zone, and leaves it where it is
-// full or lost.
+// Several schedulers over one fleet in three zones: each places new services in its own partition of its
+// zone, and outside of it where the partition is full or the zone is not available.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -11,12 +11,12 @@
 namespace scheduling {
 namespace {
 
-// Sixteen schedulers over one fleet in three zones, standing in them in turn.
-struct Parts {
+// Sixteen schedulers over one fleet; scheduler i is in zone i modulo 3.
+struct SixteenSchedulers {
   static constexpr int kSchedulers = 16, kNodes = 400;
   std::vector<std::unique_ptr<World>> worlds;
 
-  Parts() {
+  SixteenSchedulers() {
     for (int i = 0; i < kSchedulers; ++i) {
       Settings settings = Fleet();
       settings.scheduler_count = kSchedulers;
@@ -25,78 +25,82 @@
       worlds.push_back(std::make_unique<World>(kNodes, 1, settings));
     }
   }
-  // Where so many new services of a scheduler are bound, each at once placed.
-  std::set<NodeId> Bind(int scheduler, int count, RequestId from = 1) {
+  // Places requests of `count` new services by this scheduler, and returns the nodes that accept them.
+  std::set<NodeId> PlaceNewServices(int scheduler, int count, RequestId first_id = 1) {
     World& world = *worlds[static_cast<std::size_t>(scheduler)];
-    std::set<NodeId> all;
-    for (RequestId id = from; id < from + static_cast<RequestId>(count); ++id) {
+    std::set<NodeId> nodes;
+    for (RequestId id = first_id; id < first_id + static_cast<RequestId>(count); ++id) {
       const NodeId node =
           world.Place(world.Ask(id, 0.25, 0.5, 1000 * static_cast<std::uint64_t>(scheduler) + id));
       REQUIRE(node != 0);
       world.Send(TaskAccepted{id, 0, node, 10 * kMs});
       world.now += kMs;
-      all.insert(node);
+      nodes.insert(node);
     }
-    return all;
+    return nodes;
   }
 };
 
-TEST_CASE_FIXTURE(Parts, "schedulers that know of each other's number bind in parts of their zones, apart") {
-  std::set<NodeId> taken;
+TEST_CASE_FIXTURE(
+    SixteenSchedulers,
+    "schedulers that know their number place new services in disjoint partitions of their zones") {
+  std::set<NodeId> used;
   for (int i = 0; i < kSchedulers; ++i) {
-    const std::set<NodeId> its = Bind(i, 60);
-    CHECK(its.size() > 5);
-    CHECK(its.size() < kNodes / 8);
-    for (const NodeId node : its) {
+    const std::set<NodeId> partition = PlaceNewServices(i, 60);
+    CHECK(partition.size() > 5);
+    CHECK(partition.size() < kNodes / 8);
+    for (const NodeId node : partition) {
       CHECK(static_cast<int>(node % 3) == i % 3);
-      CHECK(taken.insert(node).second);
+      CHECK(used.insert(node).second);
     }
   }
 }
 
-TEST_CASE_FIXTURE(Parts, "a part above the fleet's level leaves its binds to the rest of the fleet") {
-  const std::set<NodeId> part = Bind(0, 200);
+TEST_CASE_FIXTURE(SixteenSchedulers,
+                  "new services go outside a partition whose load is far above the fleet's mean") {
+  const std::set<NodeId> partition = PlaceNewServices(0, 200);
   World& world = *worlds[0];
   std::vector<NodeEntry> full;
-  for (const NodeId node : part) {
+  for (const NodeId node : partition) {
     full.push_back(world.listed.at(node));
-    full.back().free_cores = 4;  // still room, and far above the mean
+    full.back().free_cores = 4;  // enough capacity, but a load far above the mean
   }
   world.now += 5 * kSecond;
   world.Roster(full);
   world.now += kSecond;
-  for (const NodeId node : Bind(0, 20, 1000)) CHECK_FALSE(part.contains(node));
+  for (const NodeId node : PlaceNewServices(0, 20, 1000)) CHECK_FALSE(partition.contains(node));
 }
 
-TEST_CASE_FIXTURE(Parts,
-                  "a scheduler whose zone is lost binds elsewhere, and at home again once it is back") {
+TEST_CASE_FIXTURE(SixteenSchedulers,
+                  "new services go to other zones while the scheduler's zone drains and return afterwards") {
   World& world = *worlds[0];
-  const std::set<NodeId> before = Bind(0, 60);
+  const std::set<NodeId> before = PlaceNewServices(0, 60);
   std::vector<NodeEntry> zone;
   for (const auto& [node, entry] : world.listed) {
     if (node % 3 == 0) zone.push_back(entry);
   }
-  const auto tell = [&](NodeState state) {
+  const auto set_zone_state = [&](NodeState state) {
     for (NodeEntry& entry : zone) entry.state = state;
     world.now += kSecond;
     world.Roster(zone);
   };
-  tell(NodeState::kDraining);
-  for (const NodeId node : Bind(0, 40, 1000)) CHECK(node % 3 != 0);
-  tell(NodeState::kReady);
-  const std::set<NodeId> after = Bind(0, 60, 2000);
+  set_zone_state(NodeState::kDraining);
+  for (const NodeId node : PlaceNewServices(0, 40, 1000)) CHECK(node % 3 != 0);
+  set_zone_state(NodeState::kReady);
+  const std::set<NodeId> after = PlaceNewServices(0, 60, 2000);
   for (const NodeId node : after) CHECK(node % 3 == 0);
   CHECK(std::ranges::any_of(after, [&](NodeId node) { return before.contains(node); }));
 }
 
-TEST_CASE_FIXTURE(Parts, "starts that are still under way at home weigh on the next bind") {
+TEST_CASE_FIXTURE(SixteenSchedulers,
+                  "unanswered attempts in the partition count as load for the next new service") {
   World& world = *worlds[0];
-  std::map<NodeId, int> starts;
-  std::set<NodeId> part = Bind(0, 200);
-  for (RequestId id = 1000; id < 1000 + static_cast<RequestId>(part.size() / 2); ++id) {
-    ++starts[world.Place(world.Ask(id, 0.25, 0.5, 50'000 + id))];  // none of them is answered
+  std::map<NodeId, int> attempts;
+  std::set<NodeId> partition = PlaceNewServices(0, 200);
+  for (RequestId id = 1000; id < 1000 + static_cast<RequestId>(partition.size() / 2); ++id) {
+    ++attempts[world.Place(world.Ask(id, 0.25, 0.5, 50'000 + id))];  // without an answer
   }
-  for (const auto& [node, count] : starts) CHECK(count == 1);
+  for (const auto& [node, count] : attempts) CHECK(count == 1);
 }
 
 }  // namespace
