--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,20 +1,21 @@
-// What must outlive the process: records of the agreement (term and vote, entries, a snapshot) and a few
-// named values, in one SQLite file. It owns the file and its lock; one thread uses it (see store_thread.h).
-// Nothing here knows what the bytes mean.
+// Durable storage: the records of the consensus module (term and vote, log entries, a snapshot) and a few
+// named values, in one SQLite file. A Store owns the file and its lock, and is used by one thread (see
+// store_thread.h). It does not interpret the bytes.
 //
-// A Batch is written whole or not at all, and durable when Append returns without a fault. After any fault
-// the store takes no more: what the disk has is not known then (a sync that failed may have lost pages that
-// later reads still show). Opened again it copies all of the write-ahead log into the file anew and syncs it
-// before the first answer, so that no value is given out that is only in the system's cache.
+// A Batch is written in whole or not at all, and is durable when Append returns without an error. After any
+// error the store accepts no further batches, since the state of the disk is then unknown (a failed sync may
+// have lost pages that later reads still return). When a store is opened, the write-ahead log is copied into
+// the file and synced before anything is read, so that no value is returned that is only in the system's
+// cache.
 //
-// Each row carries a checksum of its own (SQLite has none for its pages), entries must follow on the snapshot
-// without a gap, and the file carries our number and version: whatever else is found is refused with one line
-// that names the file, what is wrong and what to do. An empty or missing file is a new one, and said to be so
-// (`fresh`): the agreement then takes part only after it has been taken in anew.
+// Each row has a checksum (SQLite has none for its pages), entries must follow the snapshot without a gap,
+// and the file has this program's application id and version. Anything else is refused with one line that
+// names the file, the problem and the remedy. An empty or missing file becomes a new store, which is reported
+// (`created`): the member then takes part in consensus only after it has been added anew.
 //
 // The file: application id 0x57725374 ("WrSt"), user version 1; tables state, snapshot, entries, named.
-// Emptied: entries by truncation and by snapshots; named values by an empty value. docs/design/store.md has
-// why SQLite, and the figures.
+// Entries are removed by truncation and by snapshots, named values by an empty value. docs/design/store.md
+// has the reasons for SQLite and the measurements.
 #pragma once
 
 #include <cstdint>
@@ -31,86 +32,97 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-struct State {
+// The member's identity, and its consensus state that must survive a restart.
+struct PersistentState {
   std::uint64_t identity = 0, cluster = 0, term = 0, vote = 0;
-  bool operator==(const State&) const = default;
+  bool operator==(const PersistentState&) const = default;
 };
+// Replaces all log entries up to `index`. `members` and `state` are encoded by the consensus module.
 struct Snapshot {
   std::uint64_t index = 0, term = 0;
   Bytes members, state;
   bool operator==(const Snapshot&) const = default;
 };
+// A log entry.
 struct Entry {
   std::uint64_t term = 0;
   std::uint8_t kind = 0;
   Bytes bytes;
   bool operator==(const Entry&) const = default;
 };
-struct Named {
+// A value that is stored under a name.
+struct NamedValue {
   std::string name;
-  Bytes value;  // empty: forget it
-  bool operator==(const Named&) const = default;
+  Bytes value;  // empty: remove the value
+  bool operator==(const NamedValue&) const = default;
 };
 
+// What is written in one transaction.
 struct Batch {
-  std::optional<State> state;
-  std::optional<Snapshot> snapshot;  // entries up to its index go, and all others too where `whole`
-  bool whole = false;
-  std::uint64_t first = 0;  // entries are put at first, first + 1, ...; what stood at `first` and above goes
+  std::optional<PersistentState> state;
+  std::optional<Snapshot> snapshot;  // removes the entries up to its index
+  bool remove_all_entries = false;   // the snapshot removes all entries
+  std::uint64_t first_index = 0;     // of `entries`; stored entries from this index on are removed first
   std::vector<Entry> entries;
-  std::vector<Named> named;
+  std::vector<NamedValue> named;
 };
 
+// What a store holds.
 struct Content {
-  bool fresh = false;  // the file was not there, or empty
-  State state;
+  bool created = false;  // the file did not exist or was empty
+  PersistentState state;
   Snapshot snapshot;
-  std::vector<Entry> entries;  // from snapshot.index + 1 on
-  std::vector<Named> named;    // by name
+  std::vector<Entry> entries;     // from snapshot.index + 1 on
+  std::vector<NamedValue> named;  // by name
   bool operator==(const Content&) const = default;
 };
 
-struct Bounds {
+// A batch that exceeds a limit is refused.
+struct Limits {
   std::size_t value_bytes = 4 << 20;  // of an entry, a snapshot or a named value
-  std::size_t named = 64, entries = 8192;
+  std::size_t named_values = 64, entries = 8192;
   std::uint64_t file_bytes = 256 << 20;
-  int log_pages = 256;  // of the write-ahead log, about; then it is copied into the file
+  int log_pages = 256;  // the approximate size at which the write-ahead log is copied into the file
 };
 
+// See the head of this file. Not thread-safe.
 class Store {
  public:
-  // Nothing, and a line in `*fault`, where it cannot be used. `vfs`: SQLite's name of the file system to use.
-  static std::unique_ptr<Store> Open(const std::string& file, Bounds bounds, std::string* fault,
+  // Returns null, and a line in `*error`, if the file cannot be used. `vfs`: the SQLite name of the file
+  // system to use.
+  static std::unique_ptr<Store> Open(const std::string& file, Limits limits, std::string* error,
                                      const char* vfs = nullptr);
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  // What was read when it was opened. To be taken once.
-  Content TakeContent() { return std::move(content_); }
-  // False, and a line in `*fault`: nothing is known to be durable, and the store takes no more.
-  bool Append(const Batch& batch, std::string* fault);
+  // The content at the time of Open(). To be called once.
+  Content ReleaseContent() { return std::move(content_); }
+  // Returns false, and a line in `*error`, if the batch is not known to be durable; the store then accepts no
+  // further batches.
+  bool Append(const Batch& batch, std::string* error);
   bool usable() const { return usable_; }
 
  private:
-  Store(std::string file, Bounds bounds) : file_(std::move(file)), bounds_(bounds) {}
-  bool Prepare(const char* vfs, std::string* fault);
-  bool Check(std::string* fault);
-  bool Create(std::string* fault);
-  bool Read(std::string* fault);
-  bool Write(const Batch& batch);
-  bool Run(const char* sql);
-  std::optional<std::int64_t> Number(const char* sql);
-  std::string Explain() const;  // SQLite's last fault as a line of ours
-  std::string Line(const std::string& what) const { return file_ + ": " + what; }
+  Store(std::string file, Limits limits) : file_(std::move(file)), limits_(limits) {}
+  bool OpenDatabase(const char* vfs, std::string* error);
+  bool CheckFile(std::string* error);  // sets content_.created
+  bool CreateTables(std::string* error);
+  bool ReadContent(std::string* error);
+  bool WriteBatch(const Batch& batch);
+  bool Execute(const char* sql);
+  std::optional<std::int64_t> QueryNumber(const char* sql);
+  std::string DescribeLastError() const;  // of SQLite, as a line with the remedy
+  std::string WithFileName(const std::string& text) const { return file_ + ": " + text; }
 
   const std::string file_;
-  const Bounds bounds_;
+  const Limits limits_;
   sqlite3* db_ = nullptr;
   std::vector<sqlite3_stmt*> statements_;
   bool usable_ = false;
-  std::uint64_t base_ = 0, last_ = 0;  // entries held are base_ + 1 .. last_
-  std::string bound_met_;
+  std::uint64_t snapshot_index_ = 0,
+                last_index_ = 0;  // the entries snapshot_index_ + 1 to last_index_ are stored
+  std::string limit_error_;       // why the batch exceeds a limit or is out of order
   Content content_;
 };
 
--- a/src/store/store_thread.h
+++ b/src/store/store_thread.h
@@ -1,12 +1,14 @@
-// The store behind a thread of its own, so that the loop never waits for a disk. The loop pushes batches with
-// the agreement's tickets; the thread writes them in order and gives a Done for each. It owns the store and
-// the thread.
+// A store with a thread of its own, so that the event loop never waits for a disk. The event loop queues
+// batches with the tickets of the consensus module; the thread writes them in order and returns one result
+// for each. A StoreThread owns the store and the thread.
 //
-// Between them is the queue of src/structures: each batch is answered once, in order, and a result never
-// waits for room, as the bound counts what is queued, at work and not yet taken together.
+// Between them is the queue of containers/handoff_queue.h: each batch is answered once and in order, and a
+// result never waits for space in the queue, as its limit counts queued and running batches and untaken
+// results together.
 //
-// Full: TryAppend says false, and the caller must not go on as if it were saved: the agreement stays silent
-// by itself, as it waits for Saved. After a fault each further batch is answered with the same fault.
+// If the queue is full, TryAppend returns false, and the caller must not continue as if the batch were saved;
+// the consensus module then sends nothing, since it waits for Saved. After an error each further batch is
+// answered with the same error.
 #pragma once
 
 #include <deque>
@@ -21,44 +23,50 @@
 
 namespace cluster_manager::store {
 
-struct Work {
+// A batch to be written. The ticket identifies its result.
+struct WriteRequest {
   std::uint64_t ticket = 0;
   Batch batch;
 };
-struct Done {
+struct WriteResult {
   std::uint64_t ticket = 0;
-  std::string fault;  // empty: durable
+  std::string error;  // empty: the batch is durable
 };
 
+// `Threads`: the thread primitives, see containers/threads.h. All functions are called by the event loop.
 template <class Threads = StdThreads>
 class StoreThread {
  public:
-  // `wake` is called in the thread: it may only tell the loop to look (an async watcher, a descriptor).
-  StoreThread(std::unique_ptr<Store> store, std::size_t most_waiting, Callback wake)
-      : store_(std::move(store)), queue_(most_waiting, wake), thread_([this] { Run(); }) {}
-  // What is queued is still written: it holds words that the agreement has counted on.
+  // `wake` is called on the store's thread: it may only notify the event loop (an async watcher, a
+  // descriptor).
+  StoreThread(std::unique_ptr<Store> store, std::size_t max_pending, Callback wake)
+      : store_(std::move(store)), queue_(max_pending, wake), thread_([this] { Run(); }) {}
+  // Queued batches are still written: the consensus module may rely on them.
   ~StoreThread() { Stop(Ending::kDrain); }
 
-  bool TryAppend(Work work) { return queue_.TryPush(std::move(work)); }
-  std::optional<Done> TakeDone() { return queue_.TakeResult(); }
-  // Waits for the thread. Results can still be taken; what is returned was dropped and is not written.
-  std::deque<Work> Stop(Ending ending) {
-    std::deque<Work> dropped = queue_.Stop(ending);
+  // Returns false if the queue is full or stopped.
+  bool TryAppend(WriteRequest request) { return queue_.TryPush(std::move(request)); }
+  // The next result in the order of the requests, if there is one.
+  std::optional<WriteResult> PopResult() { return queue_.TakeResult(); }
+  // Waits for the thread. Results can still be popped. The returned requests were dropped and are not
+  // written.
+  std::deque<WriteRequest> Stop(Ending ending) {
+    std::deque<WriteRequest> dropped = queue_.Stop(ending);
     if (thread_.joinable()) thread_.join();
     return dropped;
   }
 
  private:
   void Run() {
-    std::string fault;
-    while (std::optional<Work> work = queue_.Pop()) {
-      if (fault.empty()) store_->Append(work->batch, &fault);
-      queue_.Give(Done{work->ticket, fault});
+    std::string error;
+    while (std::optional<WriteRequest> request = queue_.Pop()) {
+      if (error.empty()) store_->Append(request->batch, &error);
+      queue_.Give(WriteResult{request->ticket, error});
     }
   }
 
   std::unique_ptr<Store> store_;
-  HandoffQueue<Threads, Work, Done> queue_;
+  HandoffQueue<Threads, WriteRequest, WriteResult> queue_;
   typename Threads::Thread thread_;
 };
 
--- a/tests/compatibility_samples.h
+++ b/tests/compatibility_samples.h
@@ -46,10 +46,10 @@
 
 inline store::Batch SampleBatch() {
   store::Batch batch;
-  batch.state = store::State{0x1122334455667788, 0x99aabbccddeeff00, 12, 0x1122334455667788};
+  batch.state = store::PersistentState{0x1122334455667788, 0x99aabbccddeeff00, 12, 0x1122334455667788};
   batch.snapshot = store::Snapshot{40, 11, {1, 2, 3}, {4, 5, 6, 7}};
-  batch.whole = true;
-  batch.first = 41;
+  batch.remove_all_entries = true;
+  batch.first_index = 41;
   batch.entries = {{11, 0, {}}, {12, 1, {0, 255, 128}}, {12, 2, {9}}};
   batch.named = {{"floors", {10, 20, 30}}, {"spending", {0}}};
   return batch;
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -124,9 +124,9 @@
   std::string fault;
   const auto kept = store::Store::Open(folder.Copy("store.sqlite"), {}, &fault);
   REQUIRE_MESSAGE(kept != nullptr, fault);
-  const store::Content content = kept->TakeContent();
+  const store::Content content = kept->ReleaseContent();
   const store::Batch batch = SampleBatch();
-  CHECK_FALSE(content.fresh);
+  CHECK_FALSE(content.created);
   CHECK(content.state == *batch.state);
   CHECK(content.snapshot == *batch.snapshot);
   CHECK(content.entries == batch.entries);
