--- a/src/spending/admission.cpp
+++ b/src/spending/admission.cpp
@@ -6,7 +6,7 @@
 
 namespace cluster_manager::spending {
 
-Wide SpendingController::CostPerSecond(const AdmissionRequest& request, Time now) const {
+Int128 SpendingController::CostPerSecond(const AdmissionRequest& request, Time now) const {
   return plan_.tariffs.CostParts(request.size, request.node_kind, now / kSecond, now / kSecond + 1);
 }
 
--- a/src/spending/evaluation.cpp
+++ b/src/spending/evaluation.cpp
@@ -87,7 +87,7 @@
   for (std::size_t k = 0; k < state.reported_steps.size(); ++k) {
     const int class_index = static_cast<int>(k);
     const Money limit = team.NewTaskLimit(class_index);
-    const Money notice = static_cast<Money>(Wide{team.cap} * team.steps[k].notice / 1'000'000);
+    const Money notice = static_cast<Money>(Int128{team.cap} * team.steps[k].notice / 1'000'000);
     const Step previous = state.reported_steps[k];
     // A step that was reached is left only a hundredth of the cap below it, so that the log does not
     // alternate.
--- a/src/spending/plan.cpp
+++ b/src/spending/plan.cpp
@@ -238,11 +238,11 @@
 }  // namespace
 
 Money Team::NewTaskLimit(int class_index) const {
-  return static_cast<Money>(Wide{cap} * steps[static_cast<std::size_t>(class_index)].no_new_tasks /
+  return static_cast<Money>(Int128{cap} * steps[static_cast<std::size_t>(class_index)].no_new_tasks /
                             1'000'000);
 }
 Money Team::HardStopLimit(int class_index) const {
-  return static_cast<Money>(Wide{cap} * steps[static_cast<std::size_t>(class_index)].hard_stop / 1'000'000);
+  return static_cast<Money>(Int128{cap} * steps[static_cast<std::size_t>(class_index)].hard_stop / 1'000'000);
 }
 
 int Plan::FindTeam(const std::string& tenant, const std::string& service) const {
--- a/src/spending/spending_controller.cpp
+++ b/src/spending/spending_controller.cpp
@@ -151,7 +151,7 @@
   }
   MonthlyCosts costs{};
   for (std::size_t m = 0; m < 4; ++m) {
-    Wide spent = 0, total = 0;
+    Int128 spent = 0, total = 0;
     for (std::size_t i = 0; i < task.segments.size(); ++i) {
       const Segment& segment = task.segments[i];
       const Time segment_end = i + 1 < task.segments.size() ? task.segments[i + 1].start : to;
--- a/src/spending/spending_controller.h
+++ b/src/spending/spending_controller.h
@@ -276,7 +276,7 @@
   Task* InsertTask(const AdmissionRequest& request, int team, State state);
   void RecordStart(const AdmissionRequest& request, int team, Time start, Time now);
   // In parts of a micro-unit, see Tariffs.
-  Wide CostPerSecond(const AdmissionRequest& request, Time now) const;
+  Int128 CostPerSecond(const AdmissionRequest& request, Time now) const;
   static nlohmann::json ToJson(const Task& task, const std::string& team, const Deployment& deployment);
 
   Plan plan_;
--- a/src/spending/tariff.cpp
+++ b/src/spending/tariff.cpp
@@ -32,27 +32,27 @@
   return units * kUnit + micro_units;
 }
 
-Wide Tariffs::CostParts(const TaskSize& size, int node_kind, Seconds from, Seconds to) const {
-  Wide total = 0;
+Int128 Tariffs::CostParts(const TaskSize& size, int node_kind, Seconds from, Seconds to) const {
+  Int128 total = 0;
   for (std::size_t i = 0; i < dated_.size() && from < to; ++i) {
     const Seconds until = i + 1 < dated_.size() ? std::min(to, dated_[i + 1].from) : to;
     if (until <= from) continue;
     const std::vector<Prices>& by_node_kind = dated_[i].by_node_kind;
     const bool known = node_kind >= 0 && static_cast<std::size_t>(node_kind) + 1 < by_node_kind.size();
     const Prices& prices = known ? by_node_kind[static_cast<std::size_t>(node_kind)] : by_node_kind.back();
-    const Wide per_second = Wide{prices.core_hour} * size.millicores * 1024 +
-                            Wide{prices.gib_hour} * size.memory_mib * 1000 +
-                            Wide{prices.task_hour} * 1000 * 1024;
+    const Int128 per_second = Int128{prices.core_hour} * size.millicores * 1024 +
+                              Int128{prices.gib_hour} * size.memory_mib * 1000 +
+                              Int128{prices.task_hour} * 1000 * 1024;
     total += per_second * (until - from);
     from = until;
   }
   return total;
 }
 
-Money Tariffs::RoundUp(Wide parts) {
-  const Wide money = (parts + kPartsPerMicroUnit - 1) / kPartsPerMicroUnit;
+Money Tariffs::RoundUp(Int128 parts) {
+  const Int128 money = (parts + kPartsPerMicroUnit - 1) / kPartsPerMicroUnit;
   // More than any cap that a plan can hold; sums of such costs still do not overflow.
-  constexpr Wide kMaxCost = std::numeric_limits<Money>::max() >> 20;
+  constexpr Int128 kMaxCost = std::numeric_limits<Money>::max() >> 20;
   return static_cast<Money>(std::min(money, kMaxCost));
 }
 
--- a/src/spending/tariff.h
+++ b/src/spending/tariff.h
@@ -12,7 +12,7 @@
 
 using Time = std::int64_t;   // Unix time or a duration, in nanoseconds
 using Money = std::int64_t;  // micro-units of the plan's currency
-__extension__ using Wide = __int128;
+__extension__ using Int128 = __int128;
 
 constexpr Time kSecond = 1'000'000'000;
 constexpr Money kUnit = 1'000'000;
@@ -44,7 +44,7 @@
 // exceeds a cap.
 class Tariffs {
  public:
-  static constexpr Wide kPartsPerMicroUnit = Wide{1000} * 1024 * 3600;
+  static constexpr Int128 kPartsPerMicroUnit = Int128{1000} * 1024 * 3600;
   struct DatedPrices {
     Seconds from = 0;
     std::vector<Prices> by_node_kind;  // the last entry is for node kinds that are not named
@@ -52,8 +52,8 @@
   // `dated`: ascending by `from`.
   explicit Tariffs(std::vector<DatedPrices> dated = {}) : dated_(std::move(dated)) {}
   // Seconds before the first tariff are charged at the first tariff: nothing runs free of charge.
-  Wide CostParts(const TaskSize& size, int node_kind, Seconds from, Seconds to) const;
-  static Money RoundUp(Wide parts);
+  Int128 CostParts(const TaskSize& size, int node_kind, Seconds from, Seconds to) const;
+  static Money RoundUp(Int128 parts);
   static Seconds CeilToSecond(Time at) { return at / kSecond + (at % kSecond > 0 ? 1 : 0); }
 
  private:
--- a/src/spending/task_events.cpp
+++ b/src/spending/task_events.cpp
@@ -88,8 +88,8 @@
     ++counters_.unknown_tasks;
   } else if (task->state == State::kAdmitted || task->state == State::kPending) {
     OnRequestCancelled(id, clock_reading);  // it never ran
-  } else if (task->state !=
-             State::kEnded) {  // duplicates are ignored; CorrectTaskTimes() changes a recorded end
+  } else if (task->state != State::kEnded) {
+    // A duplicate report is ignored; CorrectTaskTimes() changes a recorded end.
     RecordEnd(task, ended, now);
   }
 }
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -205,7 +205,7 @@
            false;
   }
   // EXCLUSIVE is set before WAL, so that SQLite uses no shared memory file and a second process is refused.
-  // FULL syncs at each commit. Pages have 4 KiB; 256 KiB of them are cached.
+  // FULL syncs at each commit. The page size is 4 KiB; 256 KiB of pages are cached.
   if (!Execute("PRAGMA locking_mode=EXCLUSIVE; PRAGMA synchronous=FULL; PRAGMA cache_size=-256;"
                "PRAGMA temp_store=MEMORY; PRAGMA trusted_schema=OFF; PRAGMA cell_size_check=ON;")) {
     return *error = DescribeLastError(), false;
--- a/tests/spending_controller_test.cpp
+++ b/tests/spending_controller_test.cpp
@@ -28,13 +28,13 @@
   Money CostOfMonth(bool next_month, Time now) const {
     Money total = 0;
     for (const Run& run : runs) {
-      Wide sum = 0;  // thousandths of a micro-unit an hour
+      Int128 sum = 0;  // thousandths of a micro-unit an hour
       for (std::size_t i = 0; i < run.segments.size(); ++i) {
         const Segment& segment = run.segments[i];
         const Time to = run.running && i + 1 == run.segments.size() ? now : segment.to;
         for (Seconds at = segment.from / kSecond; at <= to / kSecond; ++at) {
           if (at * kSecond < segment.from || at * kSecond >= to || (at >= month_end) != next_month) continue;
-          sum += Wide{segment.cores} * 1000 * (segment.node_kind == 1 ? 2'000'000 : 1'000'000) *
+          sum += Int128{segment.cores} * 1000 * (segment.node_kind == 1 ? 2'000'000 : 1'000'000) *
                  (at >= tariff_change ? 3 : 2) / 2;
         }
       }
--- a/tests/spending_fixtures.h
+++ b/tests/spending_fixtures.h
@@ -86,8 +86,8 @@
     account.uncovered[member] = std::max<Money>(0, draw.uncovered - amount);
     account.spent[member] = draw.spent;
     LedgerPool pool{account.drawn, 0, 0, account.cap};
-    for (const auto& [each, uncovered] : account.uncovered) pool.uncovered += uncovered;
-    for (const auto& [each, spent] : account.spent) pool.spent += spent;
+    for (const auto& [member_number, uncovered] : account.uncovered) pool.uncovered += uncovered;
+    for (const auto& [member_number, spent] : account.spent) pool.spent += spent;
     return {draw.team, draw.month, amount, ++account.epoch, pool};
   }
   void HandleReturn(int member, const MoneyReturn& money_return) {
--- a/tests/spending_ledger_test.cpp
+++ b/tests/spending_ledger_test.cpp
@@ -169,7 +169,7 @@
   static Money ActualCostOf(const Task& task, Seconds month_end, Seconds month_start) {
     const Seconds run_start = std::max(month_start, Tariffs::CeilToSecond(task.started)),
                   run_end = std::min(month_end, Tariffs::CeilToSecond(task.end));
-    return Tariffs::RoundUp(Wide{std::max<Seconds>(0, run_end - run_start)} * task.request.size.millicores *
+    return Tariffs::RoundUp(Int128{std::max<Seconds>(0, run_end - run_start)} * task.request.size.millicores *
                             kUnit * 1024);
   }
   Money ended_web_cost = 0, ended_settlement_cost = 0;
@@ -264,8 +264,8 @@
                                    runs[i].second - now,
                                    false});
         }
-        spent +=
-            Tariffs::RoundUp(Wide{runs[i].second / kSecond - runs[i].first / kSecond} * 1000 * kUnit * 1024);
+        spent += Tariffs::RoundUp(Int128{runs[i].second / kSecond - runs[i].first / kSecond} * 1000 * kUnit *
+                                  1024);
       }
       const Money refund = settlement.CollectRefund(now > died + 1000 * kSecond);
       CHECK((now > died + 1000 * kSecond || refund == 0));
--- a/tests/spending_plan_test.cpp
+++ b/tests/spending_plan_test.cpp
@@ -128,21 +128,21 @@
     const Seconds start = base - 100 + static_cast<Seconds>(random() % 400),
                   end = start + static_cast<Seconds>(random() % 900);
     const Seconds middle = start + static_cast<Seconds>(random() % 900) % (end - start + 1);
-    Wide sum = 0;
+    Int128 sum = 0;
     for (Seconds at = start; at < end; ++at) {
       const Tariffs::DatedPrices* in_force = &dated[0];
       for (const Tariffs::DatedPrices& entry : dated) in_force = entry.from <= at ? &entry : in_force;
       const Prices& price = in_force->by_node_kind[node_kind == 0 ? 0 : 1];
-      sum += Wide{price.core_hour} * size.millicores * 1024 + Wide{price.gib_hour} * size.memory_mib * 1000 +
-             Wide{price.task_hour} * 1'024'000;
+      sum += Int128{price.core_hour} * size.millicores * 1024 +
+             Int128{price.gib_hour} * size.memory_mib * 1000 + Int128{price.task_hour} * 1'024'000;
     }
     CHECK((tariffs.CostParts(size, node_kind, start, end) == sum));
     CHECK((tariffs.CostParts(size, node_kind, start, middle) +
                tariffs.CostParts(size, node_kind, middle, end) ==
            sum));
     const Money rounded = Tariffs::RoundUp(sum);
-    CHECK((Wide{rounded} * Tariffs::kPartsPerMicroUnit >= sum &&
-           (rounded == 0 || Wide{rounded - 1} * Tariffs::kPartsPerMicroUnit < sum)));
+    CHECK((Int128{rounded} * Tariffs::kPartsPerMicroUnit >= sum &&
+           (rounded == 0 || Int128{rounded - 1} * Tariffs::kPartsPerMicroUnit < sum)));
   }
 }
 
