--- a/tests/compatibility_deploy_test.cpp
+++ b/tests/compatibility_deploy_test.cpp
@@ -191,13 +191,13 @@
     CHECK(file.members[i].name == "n" + std::to_string(i));
     CHECK(file.members[i].weight == 1);
   }
-  CHECK(file.lease == 3'000 * kMillisecond);
-  CHECK(file.skew == 200 * kMillisecond);
-  CHECK(file.report == 250 * kMillisecond);
-  CHECK(file.floor_lease == 0);
+  CHECK(file.lease_duration == 3'000 * kMillisecond);
+  CHECK(file.max_clock_skew == 200 * kMillisecond);
+  CHECK(file.report_interval == 250 * kMillisecond);
+  CHECK(file.guarantee_duration == 0);
   CHECK(file.hysteresis == 100'000);
-  CHECK(file.max_move == 500'000);
-  CHECK(file.most_keys == 4096);
+  CHECK(file.max_change_per_second == 500'000);
+  CHECK(file.max_keys == 4096);
   CHECK(file.rules.size() == 9);
 }
 
@@ -216,11 +216,11 @@
       {"cold_starts", "*", Kind::kRate, 4, 1, 1500, 0, 0},
       {"retries", "*", Kind::kRate, 100, 1, 1000, 0, 500'000},
       {"site_return", "*", Kind::kRate, 8, 1, 1000, 0, 500'000},
-      {"tenant_cores", "batch-*", Kind::kLevel, 40, 1, 1000, 0, 250'000},
-      {"tenant_cores", "*", Kind::kLevel, 200, 1, 1000, 0, 500'000},
+      {"tenant_cores", "batch-*", Kind::kConcurrency, 40, 1, 1000, 0, 250'000},
+      {"tenant_cores", "*", Kind::kConcurrency, 200, 1, 1000, 0, 500'000},
       {"class_rate", "settlement", Kind::kRate, 50, 1, 1000, 0, 500'000},
-      {"node_attempts", "*", Kind::kLevel, 10, 1, 1000, 2000, 500'000},
-      {"reservations", "*", Kind::kLevel, 1, 1, 1000, 2000, 0},
+      {"node_attempts", "*", Kind::kConcurrency, 10, 1, 1000, 2000, 500'000},
+      {"reservations", "*", Kind::kConcurrency, 1, 1, 1000, 2000, 0},
       {"spending", "payments/*", Kind::kAmount, 12'000, 0.01, 1000, 0, 0}};
   const budgets::BudgetFile file = budgets::LoadBudgets(DataFile("budgets.json"));
   REQUIRE(file.rules.size() == expected.size());
@@ -230,13 +230,13 @@
     CHECK(rule.name == expected[i].name);
     CHECK(rule.pattern == expected[i].pattern);
     CHECK(rule.kind == expected[i].kind);
-    CHECK(static_cast<double>(rule.whole) == expected[i].whole * 1e6);
-    CHECK(static_cast<double>(rule.grain) == expected[i].grain * 1e6);
+    CHECK(static_cast<double>(rule.limit) == expected[i].whole * 1e6);
+    CHECK(static_cast<double>(rule.granularity) == expected[i].grain * 1e6);
     CHECK(rule.window == expected[i].window_ms * kMillisecond);
-    CHECK(rule.linger == expected[i].linger_ms * kMillisecond);
-    CHECK(rule.floor_share == expected[i].floor_share);
+    CHECK(rule.max_hold_time == expected[i].linger_ms * kMillisecond);
+    CHECK(rule.guaranteed_fraction == expected[i].floor_share);
   }
-  CHECK(file.rules[5].stated_floors == std::map<std::string, budgets::Micro>{{"n0", 20'000'000}});
+  CHECK(file.rules[5].explicit_guarantees == std::map<std::string, budgets::Micro>{{"n0", 20'000'000}});
 }
 
 TEST_CASE("each key of budgets.json that the kept one leaves at its default carries its value") {
@@ -250,13 +250,13 @@
   document["most_keys"] = 17;
   document["members"][1]["weight"] = 2;
   const budgets::BudgetFile file = budgets::ReadBudgets(document, "budgets.json");
-  CHECK(file.lease == 3'001 * kMillisecond);
-  CHECK(file.skew == 201 * kMillisecond);
-  CHECK(file.report == 251 * kMillisecond);
-  CHECK(file.floor_lease == 9'000 * kMillisecond);
+  CHECK(file.lease_duration == 3'001 * kMillisecond);
+  CHECK(file.max_clock_skew == 201 * kMillisecond);
+  CHECK(file.report_interval == 251 * kMillisecond);
+  CHECK(file.guarantee_duration == 9'000 * kMillisecond);
   CHECK(file.hysteresis == 125'000);
-  CHECK(file.max_move == 250'000);
-  CHECK(file.most_keys == 17);
+  CHECK(file.max_change_per_second == 250'000);
+  CHECK(file.max_keys == 17);
   CHECK(file.members[1].weight == 2);
 }
 
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -212,25 +212,25 @@
 TEST_CASE("a kept snapshot of the ledger says the same of each budget and to each member") {
   const budgets::Ledger kept(json::parse(Kept("ledger_snapshot.json"))), sample = SampleLedger();
   CHECK(kept.time() == sample.time());
-  CHECK(kept.changing());
+  CHECK(kept.change_pending());
   CHECK(kept.counters().commands == 7);
   CHECK(kept.counters().grants == sample.counters().grants);
   CHECK(kept.counters().orphaned == sample.counters().orphaned);
   for (const budgets::Key& key : {budgets::Key{0, ""}, {1, "node-1"}, {2, "pay/2026-12"}}) {
     CAPTURE(key.scope);
-    const budgets::Ledger::Use is = kept.UseOf(key), was = sample.UseOf(key);
-    CHECK(is.whole == was.whole);
-    CHECK(is.floors == was.floors);
-    CHECK(is.lent == was.lent);
-    CHECK(is.waits == was.waits);
+    const budgets::Ledger::Usage is = kept.UsageOf(key), was = sample.UsageOf(key);
+    CHECK(is.limit == was.limit);
+    CHECK(is.guaranteed == was.guaranteed);
+    CHECK(is.leased == was.leased);
+    CHECK(is.pending_return == was.pending_return);
     CHECK(is.drawn == was.drawn);
     CHECK(is.spent == was.spent);
   }
   for (const budgets::MemberId member : {0U, 1U}) {
-    const budgets::Word is = kept.WordFor(member), was = sample.WordFor(member);
+    const budgets::LedgerUpdate is = kept.UpdateFor(member), was = sample.UpdateFor(member);
     CHECK(is.incarnation == was.incarnation);
-    CHECK(is.floor_version == was.floor_version);
-    CHECK(is.floors == was.floors);
+    CHECK(is.shares_version == was.shares_version);
+    CHECK(is.guaranteed_shares == was.guaranteed_shares);
     CHECK(is.leases.size() == was.leases.size());
     CHECK(is.accounts.size() == was.accounts.size());
   }
@@ -238,13 +238,13 @@
 
 TEST_CASE("a kept command to the ledger is read with each value, and written again with the same bytes") {
   const std::string kept = Kept("ledger_command.json");
-  const budgets::Command command = budgets::CommandOf(json::parse(kept));
-  CHECK(Line(budgets::AsJson(command)) == kept);
-  CHECK(Line(budgets::AsJson(SampleCommand())) == kept);
+  const budgets::Command command = budgets::CommandFromJson(json::parse(kept));
+  CHECK(Line(budgets::ToJson(command)) == kept);
+  CHECK(Line(budgets::ToJson(SampleCommand())) == kept);
   CHECK(command.kind == budgets::Command::Kind::kReport);
   CHECK(command.member == 1);
   CHECK(command.incarnation == 2);
-  CHECK(command.needs[0].uses == 6 * budgets::kUnit);
+  CHECK(command.demands[0].leased_in_use == 6 * budgets::kUnit);
   CHECK(command.amounts[0].key.scope == "pay/2026-12");
   CHECK(command.members[0].weight == 3);
   CHECK(command.key.rule == 1);
@@ -253,20 +253,20 @@
 TEST_CASE("the kinds of commands to the ledger have their numbers") {
   using Kind = budgets::Command::Kind;
   const std::vector<Kind> in_order = {
-      Kind::kReport,       Kind::kRenew,     Kind::kReturn, Kind::kDraw,   Kind::kSettle,
-      Kind::kGiveBack,     Kind::kSettleFor, Kind::kGrant,  Kind::kExpire, Kind::kMembersChanged,
-      Kind::kWholeChanged, Kind::kFenced,    Kind::kRetire};
+      Kind::kReport,       Kind::kRenew,      Kind::kReturnLeases, Kind::kDraw,   Kind::kSpend,
+      Kind::kReturnAmount, Kind::kSettlement, Kind::kGrant,        Kind::kExpire, Kind::kChangeMembers,
+      Kind::kChangeLimit,  Kind::kFence,      Kind::kRetireKey};
   for (std::size_t i = 0; i < in_order.size(); ++i) CHECK(static_cast<std::size_t>(in_order[i]) == i);
 }
 
 TEST_CASE("what a member has kept of its floors is taken up, and saved again with the same bytes") {
   const std::string kept = Kept("budget_part.json");
-  CHECK(Line(SamplePart().Save()) == kept);
-  const budgets::Part part(SampleBudgets(), {1, 4, true, json::parse(kept)}, kBudgetStart);
+  CHECK(Line(SamplePart().SaveState()) == kept);
+  const budgets::MemberShare part(SampleBudgets(), {1, 4, true, json::parse(kept)}, kBudgetStart);
   CHECK(part.version() == 2);
   json later = json::parse(kept);
   later["incarnation"] = 4;  // of the start that takes it up
-  CHECK(part.Save() == later);
+  CHECK(part.SaveState() == later);
 }
 
 // --- The books of a member
