--- a/include/scheduling/actions.h
+++ b/include/scheduling/actions.h
@@ -1,5 +1,5 @@
-// What a scheduler orders its caller to do. Types only; Scheduler::Handle returns them. Times are
-// nanoseconds of the caller's event clock.
+// The actions that Scheduler::Handle returns for the caller to carry out. Types only. Times are nanoseconds
+// of the caller's event clock.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace scheduling {
 
-// Send the task of the request to the node; without an answer by `deadline` the attempt has timed out.
+// Send the task of the request to the node. The attempt times out if there is no answer by `deadline`.
 struct StartAttempt {
   RequestId id = 0;
   NodeId node = 0;
@@ -23,28 +23,28 @@
   int attempt = 0;
 };
 
-// Answer the request: no task of it runs, and it may be sent again after `retry_after`.
+// Answer the request as rejected: no task of it runs, and the client may send it again after `retry_after`.
 struct RejectRequest {
   RequestId id = 0;
-  Time retry_after = 0;  // 0: no advice
+  Time retry_after = 0;  // 0: no Retry-After
 };
 
-// Answer the request: it failed, and a task of it may run or have run.
+// Answer the request as failed: a task of it may be running or may have run.
 struct FailRequest {
   RequestId id = 0;
 };
 
-// End a running task so that its client comes again. No decision orders it so far.
+// End a running task so that its client sends the request again. Not emitted at present.
 struct MigrateTask {
   RequestId id = 0;
 };
 
-// Ask the node whether it answers, and for its load.
+// Check whether the node responds, and obtain its load report.
 struct CheckNodeHealth {
   NodeId node = 0;
 };
 
-// Close the node's connections that carry nothing. No decision orders it so far.
+// Close the node's connections that carry no attempt or task. Not emitted at present.
 struct CloseIdleConnections {
   NodeId node = 0;
 };
@@ -54,7 +54,7 @@
   bool active = true;
 };
 
-// Read the endpoint list once. No decision orders it so far.
+// Read the endpoint list once. Not emitted at present.
 struct FetchEndpointList {};
 
 // Deliver TimerFired with this tag at `at`.
@@ -63,9 +63,9 @@
   Time at = 0;
 };
 
-// Send a message to another scheduler. No decision orders it so far.
+// Send a message to another scheduler. Not emitted at present.
 struct SendPeerMessage {
-  int recipient = -1;  // -1: every peer
+  int recipient = -1;  // index of a scheduler; -1: all of them
   std::string body;
 };
 
--- a/include/scheduling/events.h
+++ b/include/scheduling/events.h
@@ -1,5 +1,5 @@
-// What a scheduler is told: the endpoint list, the requests and what became of their attempts. Types only;
-// Scheduler::Handle takes them. Times and durations are nanoseconds of the caller's event clock.
+// The events that Scheduler::Handle takes: endpoint list updates, requests, and the outcome of their
+// attempts. Types only. Times and durations are nanoseconds of the caller's event clock.
 #pragma once
 
 #include <array>
@@ -16,18 +16,19 @@
 
 enum class NodeState { kRemoved, kReady, kDraining };
 
-// What an endpoint list event carries: changes, all nodes, all nodes from a cache, or nothing.
+// What an endpoint list event carries: the changed nodes, all nodes, all nodes from a cache, or no nodes
+// because the list could not be read.
 enum class EndpointListUpdate { kDelta, kFull, kCached, kFailed };
 
-// The result of an attempt or health check.
+// The result of an attempt or health check. The comments say whether the task can have run.
 enum class Outcome {
   kOk,
   kError,         // the node answered with an error; the task may have started
   kRefused,       // never ran
   kTimedOut,      // may have been accepted
   kNoConnection,  // never ran
-  kAborted,       // accepted: lost or evicted; before: may have been accepted
-  kCancelled,     // before it was accepted: may have been accepted
+  kAborted,       // after acceptance: lost or evicted; before acceptance: may have been accepted
+  kCancelled,     // cancelled before an answer arrived; may have been accepted
   kNotSent        // never ran
 };
 
@@ -45,59 +46,61 @@
 
 enum class TaskReportKind { kStarted = 1, kCoresUsed, kMemoryUsed, kServiceLevel, kNodeMemoryPressure };
 
-// A node in the endpoint list. No decision reads `nominal` so far.
+// A node in the endpoint list. The scheduler does not use nominal_capacity at present.
 struct NodeEntry {
   NodeId node = 0;
   NodeState state = NodeState::kReady;
   int kind = 0;
   int zone = 0;
   int rack = 0;
-  Time started_at = 0;    // 0: long ago
-  double free_cores = 0;  // by what was requested; meaningful where Settings::shows_free_capacity
+  Time started_at = 0;    // 0: started too long ago to be warming up
+  double free_cores = 0;  // capacity minus requested cores; valid if Settings::shows_free_capacity
   double free_memory = 0;
-  double nominal = 1;
+  double nominal_capacity = 1;
 };
 
-// What a request asks for. No decision reads name, expected_duration, is_retry and resubmitted so far.
+// The task of a request. The scheduler does not use name, expected_duration, is_retry and resubmitted at
+// present.
 struct Task {
   RequestId id = 0;
   Time deadline = 0;
   int class_index = 0;
   int tenant = 0;
-  std::uint64_t service = 0;  // tasks of a service share a program
+  std::uint64_t service = 0;  // tasks of one service run the same program
   std::uint64_t name = 0;
   double cores = 0;
   double memory = 0;
   Time expected_duration = 0;  // 0: unknown
   bool is_retry = false;
-  bool resubmitted = false;  // it came again after a refusal, failure, move or loss
+  bool resubmitted = false;  // sent again by the client after a rejection, failure, migration or loss
 };
 
-// A node's load report: the figures that it gave, and nothing else.
+// A node's load report. Holds only the values that the node reported.
 struct LoadReport {
   enum Field { kCpuLoad, kFreeCores, kFreeMemory, kQueueLength, kFieldCount };
   std::array<double, kFieldCount> value{};
   std::array<bool, kFieldCount> present{};
 
-  void Set(Field field, double figure) {
-    value[field] = figure;
+  void Set(Field field, double reported) {
+    value[field] = reported;
     present[field] = true;
   }
 };
 
-// The endpoint list has come or changed, or could not be read. No decision reads `version` so far.
+// The endpoint list was received, has changed, or could not be read. The scheduler does not use `version` at
+// present.
 struct EndpointListChanged {
   EndpointListUpdate kind = EndpointListUpdate::kDelta;
   std::int64_t version = 0;
-  std::shared_ptr<const std::vector<NodeEntry>> entries;  // null where kind is kFailed
+  std::shared_ptr<const std::vector<NodeEntry>> entries;  // null if kind is kFailed
 };
 
-// A new request.
+// A new request has arrived.
 struct TaskArrived {
   Task task;
 };
 
-// A task that runs already and is tracked from now on; counts as attempt 0.
+// Tracks a task that is already running on a node. It counts as attempt 0.
 struct TaskClaimed {
   Task task;
   NodeId node = 0;
@@ -108,10 +111,10 @@
   RequestId id = 0;
   int attempt = 0;
   NodeId node = 0;
-  Time duration = 0;  // from the start of the attempt
+  Time duration = 0;  // from the start of the attempt to the acceptance
 };
 
-// An attempt is over: refused, failed, or the accepted task has ended.
+// An attempt has ended: it was refused or failed, or the accepted task has ended.
 struct AttemptEnded {
   RequestId id = 0;
   int attempt = 0;
@@ -123,12 +126,13 @@
   LoadReport report;
 };
 
-// The client does not wait for the request any more.
+// The client no longer waits for the request.
 struct RequestCancelled {
   RequestId id = 0;
 };
 
-// A node's report on a running task. `level`: cores or memory used, or a share from 0 to 1, by kind.
+// A node's report on a running task. `level` depends on `kind`: cores used, memory used, or a share from 0 to
+// 1.
 struct TaskReported {
   RequestId id = 0;
   int attempt = 0;
@@ -142,35 +146,36 @@
   NodeId node = 0;
   Outcome outcome = Outcome::kOk;
   Time duration = 0;
-  LoadReport report;  // meaningful where outcome is kOk
+  LoadReport report;  // valid if outcome is kOk
 };
 
-// The time of a SetTimer action has come.
+// The time of a SetTimer action has been reached.
 struct TimerFired {
   std::uint64_t tag = 0;
 };
 
-// A message of another scheduler. No decision reads it so far.
+// A message from another scheduler. The scheduler does not use it at present.
 struct PeerMessageReceived {
-  int author = 0;
+  int sender = 0;
   std::string body;
 };
 
-// The zone policy gives other answers than before.
+// The answers of the zone policy may have changed.
 struct ZonePolicyChanged {};
 
-// Other settings from now on. Settings that the constructor would not take are logged, and the old ones
-// stay. A class or tenant keeps its position as long as a request or running task is of it. Open requests get
-// no more attempts than they had at first.
+// Replaces the settings. Invalid settings are logged, and the previous ones stay in use. A class or tenant
+// must keep its index as long as a request or running task refers to it. A larger max_attempts does not apply
+// to requests that are already open.
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
-  // By class: the position whose learned estimates it begins with, its own to keep them, -1: initial ones.
-  std::vector<int> learns_from;
+  // By class: the previous index of the class whose learned estimates it takes over; its own index keeps
+  // them, -1 starts from the initial estimates.
+  std::vector<int> estimate_sources;
 };
 
-// This process ends at `by`; every request is answered before.
+// This process ends at `deadline`; every request is answered before then.
 struct ShutdownScheduled {
-  Time by = 0;
+  Time deadline = 0;
 };
 
 using Event = std::variant<EndpointListChanged, TaskArrived, TaskClaimed, TaskAccepted, AttemptEnded,
--- a/src/request_classes/class_table.cpp
+++ b/src/request_classes/class_table.cpp
@@ -11,16 +11,17 @@
 using scheduling::Settings;
 
 template <typename Positions>
-int Find(const Positions& positions, std::string_view name) {
+int PositionIn(const Positions& positions, std::string_view name) {
   const auto it = positions.find(name);
   return it == positions.end() ? -1 : it->second;
 }
 
 }  // namespace
 
-ClassTable::ClassTable(const Settings& first) : settings_(first), entries_(first.classes.size()) {
+ClassTable::ClassTable(const Settings& initial_settings)
+    : settings_(initial_settings), entries_(initial_settings.classes.size()) {
   for (std::size_t i = 0; i < entries_.size(); ++i) {
-    entries_[i].in_force = positions_.emplace(first.classes[i].name, static_cast<int>(i)).second;
+    entries_[i].active = positions_.emplace(initial_settings.classes[i].name, static_cast<int>(i)).second;
   }
 }
 
@@ -30,48 +31,48 @@
   return longest;
 }
 
-int ClassTable::Position(std::string_view name) const { return Find(positions_, name); }
+int ClassTable::FindPosition(std::string_view name) const { return PositionIn(positions_, name); }
 
-int ClassTable::ForRunningTask(std::string_view name) const {
-  if (const int position = Position(name); position >= 0) return position;
-  int first_in_force = -1;
+int ClassTable::PositionForRunningTask(std::string_view name) const {
+  if (const int position = FindPosition(name); position >= 0) return position;
+  int first_active = -1;
   for (std::size_t i = entries_.size(); i-- > 0;) {
     if (settings_.classes[i].name == name) return static_cast<int>(i);
-    if (entries_[i].in_force) first_in_force = static_cast<int>(i);
+    if (entries_[i].active) first_active = static_cast<int>(i);
   }
-  return first_in_force;
+  return first_active;
 }
 
-const std::string& ClassTable::NameOf(int position) const {
+const std::string& ClassTable::ClassName(int position) const {
   return settings_.classes.at(static_cast<std::size_t>(position)).name;
 }
 
-bool ClassTable::in_force(int position) const { return At(position).in_force; }
+bool ClassTable::is_active(int position) const { return At(position).active; }
 
-void ClassTable::Use(int position) { ++At(position).tasks; }
+void ClassTable::AddTask(int position) { ++At(position).task_count; }
 
-void ClassTable::Done(int position) {
+void ClassTable::RemoveTask(int position) {
   Entry& entry = At(position);
-  if (entry.tasks > 0) --entry.tasks;
+  if (entry.task_count > 0) --entry.task_count;
 }
 
-std::size_t ClassTable::in_use(int position) const { return At(position).tasks; }
+std::size_t ClassTable::task_count(int position) const { return At(position).task_count; }
 
-bool ClassTable::IsSame(int position, const ClassSettings& fresh) const {
-  return position >= 0 && settings_.classes[static_cast<std::size_t>(position)] == fresh;
+bool ClassTable::HasSettings(int position, const ClassSettings& class_settings) const {
+  return position >= 0 && settings_.classes[static_cast<std::size_t>(position)] == class_settings;
 }
 
-int ClassTable::FindSame(const ClassSettings& fresh) const {
+int ClassTable::FindInactiveMatch(const ClassSettings& class_settings) const {
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     const int position = static_cast<int>(i);
-    if (!entries_[i].in_force && IsSame(position, fresh)) return position;
+    if (!entries_[i].active && HasSettings(position, class_settings)) return position;
   }
   return -1;
 }
 
-int ClassTable::FindFree() const {
+int ClassTable::FindUnused() const {
   for (std::size_t i = 0; i < entries_.size(); ++i) {
-    if (!entries_[i].in_force && entries_[i].tasks == 0) return static_cast<int>(i);
+    if (!entries_[i].active && entries_[i].task_count == 0) return static_cast<int>(i);
   }
   return -1;
 }
@@ -82,49 +83,49 @@
   return static_cast<int>(entries_.size()) - 1;
 }
 
-void ClassTable::Enter(int position, const ClassSettings& fresh) {
-  settings_.classes[static_cast<std::size_t>(position)] = fresh;
-  At(position).in_force = true;
-  positions_.emplace(fresh.name, position);
+void ClassTable::Activate(int position, const ClassSettings& class_settings) {
+  settings_.classes[static_cast<std::size_t>(position)] = class_settings;
+  At(position).active = true;
+  positions_.emplace(class_settings.name, position);
 }
 
-ClassTable::Change ClassTable::Apply(const Settings& fresh) {
+ClassTable::Change ClassTable::ApplySettings(const Settings& new_settings) {
   Change change;
-  change.learns_from.resize(entries_.size());
-  std::iota(change.learns_from.begin(), change.learns_from.end(), 0);
-  const Positions before = std::exchange(positions_, {});
-  for (const auto& [name, position] : before) At(position).in_force = false;
-  ReplaceSettings(fresh);
-  // Unchanged classes first, then those that can keep their position: the others may take any free one.
-  ClassList remaining = EnterUnchanged(fresh, before, &change);
-  EnterInPlace(before, &remaining);
-  EnterElsewhere(before, remaining, &change);
-  for (const auto& [name, position] : before) change.dropped += positions_.contains(name) ? 0 : 1;
+  change.estimate_sources.resize(entries_.size());
+  std::iota(change.estimate_sources.begin(), change.estimate_sources.end(), 0);
+  const Positions previous = std::exchange(positions_, {});
+  for (const auto& [name, position] : previous) At(position).active = false;
+  ReplaceSettings(new_settings);
+  // Classes that keep their position come first, since the others may take any unused position.
+  ClassList remaining = ActivateUnchanged(new_settings, previous, &change);
+  ActivateInPlace(previous, &remaining);
+  ActivateElsewhere(previous, remaining, &change);
+  for (const auto& [name, position] : previous) change.dropped += positions_.contains(name) ? 0 : 1;
   change.settings = settings_;
   return change;
 }
 
-// All but the classes.
-void ClassTable::ReplaceSettings(const Settings& fresh) {
+// Replaces everything except the classes.
+void ClassTable::ReplaceSettings(const Settings& new_settings) {
   std::vector<ClassSettings> classes = std::move(settings_.classes);
-  settings_ = fresh;
+  settings_ = new_settings;
   settings_.classes = std::move(classes);
 }
 
-// Returns the classes that are new or changed.
-ClassTable::ClassList ClassTable::EnterUnchanged(const Settings& fresh, const Positions& before,
-                                                 Change* change) {
+// Activates the classes that have a position with equal settings. Returns the others.
+ClassTable::ClassList ClassTable::ActivateUnchanged(const Settings& new_settings, const Positions& previous,
+                                                    Change* change) {
   ClassList remaining;
   std::set<std::string_view> seen;
-  for (const ClassSettings& each : fresh.classes) {
+  for (const ClassSettings& each : new_settings.classes) {
     if (!seen.insert(each.name).second) continue;
-    const int old = Find(before, each.name);
-    const bool unchanged = IsSame(old, each);
-    if (old < 0) ++change->added;
-    if (old >= 0 && !unchanged) ++change->changed;
-    const int position = unchanged ? old : FindSame(each);
+    const int old_position = PositionIn(previous, each.name);
+    const bool unchanged = HasSettings(old_position, each);
+    if (old_position < 0) ++change->added;
+    if (old_position >= 0 && !unchanged) ++change->changed;
+    const int position = unchanged ? old_position : FindInactiveMatch(each);
     if (position >= 0) {
-      Enter(position, each);
+      Activate(position, each);
     } else {
       remaining.push_back(&each);
     }
@@ -132,22 +133,22 @@
   return remaining;
 }
 
-void ClassTable::EnterInPlace(const Positions& before, ClassList* remaining) {
+void ClassTable::ActivateInPlace(const Positions& previous, ClassList* remaining) {
   std::erase_if(*remaining, [&](const ClassSettings* each) {
-    const int old = Find(before, each->name);
-    if (old < 0 || At(old).tasks > 0) return false;
-    Enter(old, *each);
+    const int old_position = PositionIn(previous, each->name);
+    if (old_position < 0 || At(old_position).task_count > 0) return false;
+    Activate(old_position, *each);
     return true;
   });
 }
 
-void ClassTable::EnterElsewhere(const Positions& before, const ClassList& remaining, Change* change) {
+void ClassTable::ActivateElsewhere(const Positions& previous, const ClassList& remaining, Change* change) {
   for (const ClassSettings* each : remaining) {
-    int position = FindFree();
+    int position = FindUnused();
     if (position < 0) position = AddEntry();
-    change->learns_from.resize(entries_.size(), -1);
-    Enter(position, *each);
-    change->learns_from[static_cast<std::size_t>(position)] = Find(before, each->name);
+    change->estimate_sources.resize(entries_.size(), -1);
+    Activate(position, *each);
+    change->estimate_sources[static_cast<std::size_t>(position)] = PositionIn(previous, each->name);
   }
 }
 
--- a/src/scheduling/capacity_filter.h
+++ b/src/scheduling/capacity_filter.h
@@ -1,5 +1,5 @@
-// Whether a node has the capacity for a task, by what is requested and by what is expected to be used. Reads
-// ClusterView and UsageEstimator, holds no state. Called by NodeFilter, NodeSelector and ReservedNodes.
+// Checks whether a node has the capacity for a task, by requested resources and by expected use. Reads
+// ClusterView and UsageEstimator and has no state. Called by NodeFilter, NodeSelector and ReservedNodes.
 #pragma once
 
 #include <algorithm>
@@ -15,11 +15,12 @@
   CapacityFilter(const Context& context, const ClusterView& view, const UsageEstimator& usage)
       : context_(context), view_(view), usage_(usage) {}
 
-  // Whether the node can run the task at all; true where its capacity is unknown.
+  // Whether the node can run the task at all; true if its capacity is unknown.
   bool Fits(const Node& node, const Task& task) const;
-  // Whether the node can run the task without running its tasks worse.
+  // Whether the node can run the task without degrading the tasks on it; true if its capacity is unknown.
   bool FitsWell(const Node& node, const Task& task) const;
-  // How many tasks of this shape the node has capacity for once `taken` is taken: by what is requested.
+  // The number of tasks of this shape that the node has capacity for in addition to `taken`, by requested
+  // resources. May be fractional or negative.
   double SlotsByRequest(const Node& node, const Resources& shape, const Resources& taken) const {
     const Settings& settings = context_.settings;
     return std::min(
@@ -27,7 +28,7 @@
         (view_.Memory(node) * settings.memory_overcommit - node.requested.memory - taken.memory) /
             shape.memory);
   }
-  // And by what is used.
+  // The same, limited also by expected use.
   double Slots(const Node& node, const Resources& shape, const Resources& taken) const {
     const Resources& used = view_.Use(node);
     return std::min({SlotsByRequest(node, shape, taken),
@@ -43,9 +44,9 @@
   const UsageEstimator& usage_;
 };
 
-// Share of busy cores up to which tasks of the class run well enough.
+// The share of busy cores up to which the degradation of the class is acceptable.
 inline double AcceptableBusyShare(const ClassSettings& settings) {
-  return settings.degradation_start + kDegradationUsed * settings.degradation_span;
+  return settings.degradation_start + kAcceptedDegradation * settings.degradation_span;
 }
 
 }  // namespace scheduling::internal
--- a/src/scheduling/cluster_view.cpp
+++ b/src/scheduling/cluster_view.cpp
@@ -3,9 +3,9 @@
 namespace scheduling::internal {
 
 void ClusterView::MarkChanged(Node* node) {
-  const Resources& unseen = node->unseen;
-  node->requested = {std::max(0.0, Cores(*node) - node->entry.free_cores + unseen.cores),
-                     std::max(0.0, Memory(*node) - node->entry.free_memory + unseen.memory)};
+  const Resources& unlisted_change = node->unlisted_change;
+  node->requested = {std::max(0.0, Cores(*node) - node->entry.free_cores + unlisted_change.cores),
+                     std::max(0.0, Memory(*node) - node->entry.free_memory + unlisted_change.memory)};
   node->cached_use_version = 0;
   if (tracks_changes_ && !std::exchange(node->changed, true)) changed_.push_back(node);
 }
@@ -13,27 +13,27 @@
 void ClusterView::AddOwnChange(Node* node, const Task& task, double sign) {
   const Resources resources{sign * task.cores, sign * task.memory};
   node->own_changes.push_back({task.id, context_.now, resources});
-  node->unseen.Add(1, resources);
+  node->unlisted_change.AddScaled(1, resources);
   MarkChanged(node);
 }
 
-void ClusterView::SumUnseen(Node* node) const {
-  const Time shown_before = list_updated_at_ - lag_.value();
-  node->unseen = {};
+void ClusterView::RecomputeUnlistedChange(Node* node) const {
+  const Time listed_before = list_updated_at_ - lag_.value();
+  node->unlisted_change = {};
   for (const OwnChange& change : node->own_changes) {
-    if (change.at >= shown_before) node->unseen.Add(1, change.resources);
+    if (change.at >= listed_before) node->unlisted_change.AddScaled(1, change.resources);
   }
 }
 
 void ClusterView::RecordUse(Node* node, const Request& request, double sign) {
   const Resources requested{request.task.cores, request.task.memory};
-  node->own_requested.Add(sign, requested);
-  node->own_used.Add(sign, request.use);
-  usage_.Record(sign, requested, request.use);
+  node->own_requested.AddScaled(sign, requested);
+  node->own_used.AddScaled(sign, request.use);
+  usage_.UpdateTotals(sign, requested, request.use);
   MarkChanged(node);
 }
 
-void ClusterView::ExpireOwnChanges() {
+void ClusterView::RemoveListedOwnChanges() {
   for (Node* node : nodes()) {
     if (node->own_changes.empty()) continue;
     RemoveOwnChanges(
--- a/src/scheduling/cluster_view.h
+++ b/src/scheduling/cluster_view.h
@@ -1,7 +1,7 @@
-// The nodes as this scheduler sees them: the endpoint list, with the own placements and ends that the list
-// does not show yet, and what tasks are expected to use. Owns the node table, the lag of the list and the
-// list of nodes changed since PlacementIndex last read it. Memory grows with the listed nodes and own
-// changes.
+// This scheduler's view of the nodes: the endpoint list, plus the own placements and task ends that the list
+// does not show yet, plus the expected use of the tasks. Owns the node table, the estimate of the list's lag
+// and the list of nodes changed since PlacementIndex last read it. Memory use grows with the number of listed
+// nodes and own changes.
 #pragma once
 
 #include <algorithm>
@@ -21,10 +21,10 @@
  public:
   ClusterView(const Context& context, UsageEstimator& usage) : context_(context), usage_(usage) {}
 
-  Node* Find(NodeId id) const { return table_.Find(id); }  // null where it is not tracked
+  Node* Find(NodeId id) const { return table_.Find(id); }  // null if the node is not tracked
   Node* FindOrInsert(NodeId id) { return table_.FindOrInsert(id); }
   Node* AtSlot(std::uint32_t slot) const { return table_.at_slot(slot); }
-  const std::vector<Node*>& nodes() const { return table_.ordered(); }  // by number
+  const std::vector<Node*>& nodes() const { return table_.ordered(); }  // in order of their ids
   template <typename Predicate>
   void EraseIf(Predicate predicate) {
     table_.EraseIf([&](Node* node) {
@@ -41,33 +41,33 @@
   double Memory(const Node& node) const { return context_.settings.kind_memory[KindIndex(node)]; }
   const Resources& Use(const Node& node) const { return usage_.Use(node); }
 
-  // To be called after a change of a node's capacity, use or health.
+  // Recomputes what depends on the node's capacity, use or health. To be called after each change of these.
   void MarkChanged(Node* node);
-  // An own placement (sign 1) or end (-1) that the list does not show yet.
+  // Records an own placement (sign 1) or task end (-1) that the list does not show yet.
   void AddOwnChange(Node* node, const Task& task, double sign);
-  // Forgets the own changes of which predicate(change) is true.
+  // Removes the own changes for which predicate(change) is true.
   template <typename Predicate>
   void RemoveOwnChanges(Node* node, Predicate predicate) {
     std::erase_if(node->own_changes, predicate);
-    SumUnseen(node);
+    RecomputeUnlistedChange(node);
     MarkChanged(node);
   }
-  // Counts (sign 1) or discounts (-1) what the request's task asks and uses.
+  // Adds (sign 1) or subtracts (-1) what the request's task requests and uses.
   void RecordUse(Node* node, const Request& request, double sign);
 
-  // The list came now: own changes older than the lag are in it.
+  // Records that the list was received now, so that it shows own changes older than its lag.
   void RecordListUpdate() { list_updated_at_ = context_.now; }
-  void LearnLag(const Node& node, double change) { lag_.Learn(node, change, context_.now); }
-  // Forgets own changes that the list shows at any lag.
-  void ExpireOwnChanges();
+  void UpdateLagEstimate(const Node& node, double change) { lag_.Update(node, change, context_.now); }
+  // Removes own changes so old that the list shows them at any possible lag.
+  void RemoveListedOwnChanges();
 
-  // Nodes changed since the last ClearChanged, none while they are not tracked.
+  // Nodes changed since the last ClearChanged; empty while changes are not tracked.
   const std::vector<Node*>& changed() const { return changed_; }
   void TrackChanges(bool on) { tracks_changes_ = on; }
   void ClearChanged() { changed_.clear(); }
 
  private:
-  void SumUnseen(Node* node) const;
+  void RecomputeUnlistedChange(Node* node) const;
 
   const Context& context_;
   UsageEstimator& usage_;
--- a/src/scheduling/contention_estimator.cpp
+++ b/src/scheduling/contention_estimator.cpp
@@ -8,7 +8,8 @@
 }
 
 double ContentionEstimator::UnseenPlacements() const {
-  return arrivals_.PerSecond(context_.now) * (context_.settings.scheduler_count - 1) * kUnseenSeconds;
+  return arrivals_.PerSecond(context_.now) * (context_.settings.scheduler_count - 1) *
+         kUnseenPlacementSeconds;
 }
 
 double ContentionEstimator::CompetingRequests(std::size_t pending) const {
--- a/src/scheduling/contention_estimator.h
+++ b/src/scheduling/contention_estimator.h
@@ -1,5 +1,5 @@
-// What the other schedulers do that the view does not show, estimated from this scheduler's own rates: all
-// schedulers see about the same load. Owns the rates of arrivals and ends.
+// Estimates what the other schedulers do that the view does not show, from this scheduler's own rates, on the
+// assumption that all schedulers see about the same load. Owns the rates of arrivals and task ends.
 #pragma once
 
 #include <cstddef>
@@ -14,14 +14,15 @@
  public:
   explicit ContentionEstimator(const Context& context) : context_(context) {}
 
-  void Start();  // at the first event
+  // To be called at the first event.
+  void Start();
   void RecordArrival() { arrivals_.Note(context_.now); }
-  void RecordEnd() { ends_.Note(context_.now); }
-  // Placements of others that the view does not show.
+  void RecordTaskEnd() { ends_.Note(context_.now); }
+  // Placements by other schedulers that the view does not show.
   double UnseenPlacements() const;
-  // Requests that wait at others where `pending` wait here.
+  // Requests pending at other schedulers if `pending` are pending at this one.
   double CompetingRequests(std::size_t pending) const;
-  // Tasks that end at all schedulers within the age of the view.
+  // Tasks of all schedulers that end within kViewAge.
   double ExpectedEnds() const;
 
  private:
--- a/src/scheduling/endpoint_list_updater.h
+++ b/src/scheduling/endpoint_list_updater.h
@@ -1,5 +1,5 @@
-// Takes a new endpoint list into the view and forgets what is gone with it. Holds no state. Called by
-// Scheduler::Handle.
+// Applies endpoint list events to the view and erases nodes that are no longer needed. Has no state. Called
+// by Scheduler::Handle.
 #pragma once
 
 #include "scheduling/cluster_view.h"
@@ -15,7 +15,7 @@
 
 class EndpointListUpdater {
  public:
-  // The components that a list changes; all outlive the updater.
+  // The components that an endpoint list event changes. All must outlive the updater.
   struct Components {
     EndpointListWatch& watch;
     ClusterView& view;
@@ -27,18 +27,18 @@
   };
 
   EndpointListUpdater(const Context& context, const Components& components)
-      : context_(context), in_(components) {}
+      : context_(context), components_(components) {}
 
   void Handle(const EndpointListChanged& event);
 
  private:
-  void UnlistAll();
+  void MarkAllUnlisted();
   void Apply(const NodeEntry& entry, EndpointListUpdate kind);
-  void Restart(Node* node, Time started_at);
-  void EraseUnused();
+  void ResetForNewIncarnation(Node* node, Time started_at);
+  void EraseUnusedNodes();
 
   const Context& context_;
-  const Components in_;
+  const Components components_;
 };
 
 }  // namespace scheduling::internal
--- a/src/scheduling/endpoint_list_watch.cpp
+++ b/src/scheduling/endpoint_list_watch.cpp
@@ -7,31 +7,31 @@
 
 namespace scheduling::internal {
 
-Time EndpointListWatch::Patience() const {
-  const Time limit = context_.settings.subscribe_within;
-  return limit > 0 ? std::min(kMaxListSilence, limit / 2) : kMaxListSilence;
+Time EndpointListWatch::SilenceTimeout() const {
+  const Time limit = context_.settings.subscription_timeout;
+  return limit > 0 ? std::min(kMaxEndpointListSilence, limit / 2) : kMaxEndpointListSilence;
 }
 
-bool EndpointListWatch::IsDue(Time patience) const {
+bool EndpointListWatch::IsDue(Time silence_timeout) const {
   if (!subscribed_ && !requested_ && context_.now >= not_before_) return true;
-  return context_.now - std::max(updated_at_, requested_at_) > patience;
+  return context_.now - std::max(updated_at_, requested_at_) > silence_timeout;
 }
 
 void EndpointListWatch::SubscribeIfDue() {
-  if (!context_.settings.discovery_by_subscription || !IsDue(Patience())) return;
+  if (!context_.settings.discovery_by_subscription || !IsDue(SilenceTimeout())) return;
   requested_ = true;
   requested_at_ = context_.now;
   context_.actions.emplace_back(WatchEndpointList{true});
 }
 
 void EndpointListWatch::RecordFailure() {
-  const double jitter = context_.Draw();
+  const double jitter = context_.UniformRandom();
   const bool first = backoff_ == kInitialBackoff;
   subscribed_ = false;
   requested_ = false;
   not_before_ = context_.now + static_cast<Time>(static_cast<double>(backoff_) * (0.5 + jitter));
   backoff_ = std::min(2 * backoff_, kMaxBackoff);
-  if (first) context_.Log("the node list is out of reach, asking again");
+  if (first) context_.Log("endpoint list unavailable, retrying with backoff");
 }
 
 void EndpointListWatch::RecordUpdate(bool live) {
@@ -43,7 +43,7 @@
 
 Time EndpointListWatch::NextDue() const {
   if (!context_.settings.discovery_by_subscription) return kNever;
-  const Time renewal = requested_at_ + Patience() + kMs;
+  const Time renewal = requested_at_ + SilenceTimeout() + kMs;
   return std::min(!subscribed_ && !requested_ ? not_before_ : kNever,
                   renewal > context_.now ? renewal : kNever);
 }
--- a/src/scheduling/health_check_scheduler.h
+++ b/src/scheduling/health_check_scheduler.h
@@ -1,6 +1,6 @@
-// Orders health checks and reads their results: of ejected nodes whose time is over, and of one healthy node
-// after another, whose load report corrects the estimate of its use. Owns the time of the next check. Called
-// by Scheduler::Handle.
+// Requests health checks and handles their results. Ejected nodes are checked when their ejection ends.
+// Healthy nodes are checked one after another, and their load reports correct the estimates of their use.
+// Owns the time of the next check. Called by Scheduler::Handle.
 #pragma once
 
 #include "scheduling/cluster_view.h"
@@ -16,17 +16,19 @@
                        OutlierDetector& outliers)
       : context_(context), view_(view), usage_(usage), outliers_(outliers) {}
 
-  void Start();  // at the first event
-  // Checks ejected nodes whose time is over, or takes them back where checks are not allowed.
-  void CheckEjected();
-  // Checks the next healthy node where it is time to.
-  void CheckNext();
+  // Sets the time of the first check. To be called at the first event.
+  void Start();
+  // Checks ejected nodes whose ejection is over; if health checks are not allowed, ends their ejection.
+  void CheckEjectedNodes();
+  // Checks the next healthy node if a check is due.
+  void CheckNextNode();
   void Handle(const HealthCheckCompleted& event);
-  // When CheckNext has something to do; kNever: not before an event.
+  // When CheckNextNode is due; kNever if not before another event.
   Time NextDue() const { return started_ ? next_at_ : kNever; }
 
  private:
-  void Check(Node* node);
+  // Requests a check of the node unless one is pending.
+  void StartCheck(Node* node);
   void ApplyReport(Node* node, const LoadReport& report) const;
 
   Context& context_;
@@ -34,7 +36,7 @@
   const UsageEstimator& usage_;
   OutlierDetector& outliers_;
   Time next_at_ = 0;
-  bool started_ = false;  // the first check waits for the first event, those after it have a timer
+  bool started_ = false;  // the first check has been due; it waits for an event, later ones have a timer
 };
 
 }  // namespace scheduling::internal
--- a/src/scheduling/node.h
+++ b/src/scheduling/node.h
@@ -1,5 +1,5 @@
-// The record of a node and the table of all nodes. ClusterView owns the table; the comments name the
-// component that writes each group of fields.
+// The record of a node and the table of all nodes. ClusterView owns the table. The comments in NodeRecord
+// name the component that writes each group of fields.
 #pragma once
 
 #include <algorithm>
@@ -12,14 +12,15 @@
 
 namespace scheduling::internal {
 
-// An own placement (positive) or end of a task (negative) that the endpoint list may not show yet.
+// A change of the requested resources by this scheduler, a placement (positive) or the end of a task
+// (negative), that the endpoint list may not show yet.
 struct OwnChange {
   RequestId id = 0;
   Time at = 0;
   Resources resources;
 };
 
-// A class of a tenant that a node refused without a reason.
+// A class of a tenant that a node refused without giving a reason.
 struct RejectedClass {
   int class_index = 0;
   int tenant = 0;
@@ -30,26 +31,27 @@
   // EndpointListUpdater.
   NodeEntry entry;
   bool listed = false;
-  bool capacity_known = false;  // the list has shown its free capacity
-  Time listed_at = 0;           // last time in the list
+  bool capacity_known = false;  // the endpoint list has shown its free capacity
+  Time listed_at = 0;           // time of the last list entry for the node
 
-  // ClusterView.
-  bool changed = false;  // is in the list of changed nodes
-  Resources requested;   // by all tasks, own placements included
+  // ClusterView. "Own" tasks are those placed or claimed by this scheduler.
+  bool changed = false;  // is in ClusterView::changed()
+  Resources requested;   // by the tasks of all schedulers, including own changes that are not listed yet
   mutable Resources cached_use;
-  mutable std::uint64_t cached_use_version = 0;  // of the usage totals; 0: none
+  mutable std::uint64_t cached_use_version = 0;  // version of the usage totals; 0: not cached
   std::vector<OwnChange> own_changes;
-  Resources unseen;         // the sum of the own changes younger than the lag of the view
-  Resources own_requested;  // by own tasks there
-  Resources own_used;       // by own tasks there, as far as known
+  Resources unlisted_change;  // sum of the own changes younger than the lag of the endpoint list
+  Resources own_requested;    // requested by own tasks on the node
+  Resources own_used;         // used by own tasks on the node: reported, otherwise expected
 
   // RefusalTracker.
-  Resources refused_from{kNoLimit, kNoLimit};  // requests from this size on were refused
-  Time refused_at = 0;
+  // Requests of this size or larger are expected to be refused.
+  Resources smallest_refused{kNoLimit, kNoLimit};
+  Time last_refused_at = 0;
   std::vector<RejectedClass> rejected_classes;
 
   // HealthCheckScheduler.
-  Resources use_correction{1, 1};  // use by load reports over estimated use
+  Resources use_correction{1, 1};  // ratio of reported to estimated use
   bool check_pending = false;
 
   // OutlierDetector.
@@ -57,17 +59,18 @@
   Time ejected_until = 0;
 
   // RequestLifecycle.
-  Time accepted_at = 0;     // last time that it accepted a task
-  Time degraded_until = 0;  // not preferred until then
-  double start_queue = 0;   // work of own starts that do not run yet, in starts of a kept program
+  Time accepted_at = 0;      // last time that the node accepted a task
+  Time degraded_until = 0;   // the node is not preferred before this time
+  double start_backlog = 0;  // own tasks that are not running yet, in starts of a program that the node has
 
-  std::vector<Time> recent_sends;  // SlowStartLimiter: within the overload window
+  std::vector<Time> recent_sends;  // SlowStartLimiter: attempts within the overload window
 
-  // ServicePlacements: whether the program of the service at hand is kept there, valid in its selection.
+  // ServicePlacements: whether the node has the program of the selected service. Valid only while `selection`
+  // equals the current selection.
   std::uint64_t selection = 0;
   bool has_program = false;
 
-  bool in_partition = false;  // NodePartition: of this scheduler's part
+  bool in_partition = false;  // NodePartition: belongs to this scheduler's partition
 
   bool IsReady() const { return listed && entry.state == NodeState::kReady; }
   bool IsHealthy() const { return IsReady() && consecutive_failures == 0; }
@@ -80,6 +83,6 @@
 };
 
 using NodeTable = cluster_manager::OrderedTable<NodeId, NodeRecord>;
-using Node = NodeTable::Member;  // stays where it is until it is erased
+using Node = NodeTable::Member;  // has a stable address until it is erased
 
 }  // namespace scheduling::internal
--- a/src/scheduling/node_filter.cpp
+++ b/src/scheduling/node_filter.cpp
@@ -7,7 +7,7 @@
 bool NodeFilter::Allows(Node* node, const Request& request) {
   ++examined_;
   if (!node->IsReady()) return false;
-  const ClassSettings& settings = context_.ClassOf(request.task);
+  const ClassSettings& settings = context_.ClassSettingsFor(request.task);
   ZonePolicy* policy = context_.zone_policy;
   const bool unsafe = settings.retry_safety == RetrySafety::kNotIdempotent;
   if (policy != nullptr && !policy->AllowsPlacement(node->entry.zone, unsafe)) return false;
@@ -21,7 +21,7 @@
 
 bool NodeFilter::Prefers(const Node& node, const Request& request) const {
   return node.degraded_until <= context_.now && capacity_.FitsWell(node, request.task) &&
-         !reserved_.Blocks(node, request.task);
+         !reserved_.NeedsReservedCapacity(node, request.task);
 }
 
 }  // namespace scheduling::internal
--- a/src/scheduling/node_filter.h
+++ b/src/scheduling/node_filter.h
@@ -1,5 +1,5 @@
-// Which nodes may run a task, and which of them are preferred: all constraints in one place. Owns only the
-// count of nodes examined. Called by NodeSelector.
+// Decides which nodes may run a task, and which of them are preferred. Combines all constraints; owns only
+// the count of examined nodes. Called by NodeSelector.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,11 @@
         slow_start_(slow_start),
         spread_(spread) {}
 
+  // Whether the node may run the task of the request.
   bool Allows(Node* node, const Request& request);
-  // Of an allowed node: whether the task and those that run there would run well.
+  // For an allowed node: whether the task and the tasks on the node would run without degradation.
   bool Prefers(const Node& node, const Request& request) const;
-  // Nodes examined since the start.
+  // The number of nodes examined since construction.
   std::uint64_t examined() const { return examined_; }
 
  private:
--- a/src/scheduling/node_packing.cpp
+++ b/src/scheduling/node_packing.cpp
@@ -13,24 +13,24 @@
   });
 }
 
-PackingOrder NodePacking::Order(const std::vector<Node*>& nodes) const {
-  std::vector<std::pair<double, Node*>> by_fullness;
+PackingOrder NodePacking::ComputeOrder(const std::vector<Node*>& nodes) const {
+  std::vector<std::pair<double, Node*>> by_sort_key;
   Resources load;
   for (Node* node : nodes) {
     if (!node->IsHealthy()) continue;
     const Resources& used = view_.Use(*node);
     const double fullness = std::max(used.cores / view_.Cores(*node), used.memory / view_.Memory(*node));
-    by_fullness.emplace_back(IsRequiredKind(*node) - fullness, node);
-    load.Add(1, used);
+    by_sort_key.emplace_back(IsRequiredKind(*node) - fullness, node);
+    load.AddScaled(1, used);
   }
-  std::ranges::sort(by_fullness, {},
+  std::ranges::sort(by_sort_key, {},
                     [](const auto& each) { return std::pair(each.first, each.second->entry.node); });
   PackingOrder order;
   Resources filled;
-  const double share = kFillShare + kPriceFillFactor * context_.settings.node_price;
-  for (const auto& [fullness, node] : by_fullness) {
+  const double fill_share = kFillShare + kPriceFillFactor * context_.settings.node_price;
+  for (const auto& [sort_key, node] : by_sort_key) {
     if (filled.cores < load.cores || filled.memory < load.memory) ++order.in_use;
-    filled.Add(share, {view_.Cores(*node), view_.Memory(*node)});
+    filled.AddScaled(fill_share, {view_.Cores(*node), view_.Memory(*node)});
     order.nodes.push_back(node);
   }
   return order;
--- a/src/scheduling/node_packing.h
+++ b/src/scheduling/node_packing.h
@@ -1,6 +1,6 @@
-// Where nodes in use have a price: the order in which they are filled, the fullest first, and how many of
-// them are in use. The others get nothing while one in use fits, and stay free for large tasks. Holds no
-// state. Called by NodeSelector and NodePartition.
+// If nodes in use have a price, determines the order in which nodes are filled, the fullest first, and how
+// many of them are in use. The other nodes get no task while one in use fits, and stay free for large tasks.
+// Has no state. Called by NodeSelector and NodePartition.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,20 @@
 namespace scheduling::internal {
 
 struct PackingOrder {
-  std::vector<Node*> nodes;  // healthy ones, the fullest first; those of a required kind last
-  std::size_t in_use = 0;    // the first of them, which hold all load at kFillShare and more
+  std::vector<Node*> nodes;  // healthy nodes, the fullest first, those of a kind that a class requires last
+  std::size_t in_use = 0;    // how many of the first nodes carry the whole load at the target fill share
 };
 
 class NodePacking {
  public:
   NodePacking(const Context& context, const ClusterView& view) : context_(context), view_(view) {}
 
-  bool IsPriced() const { return context_.settings.node_price > 0; }
-  PackingOrder Order(const std::vector<Node*>& nodes) const;
+  bool IsEnabled() const { return context_.settings.node_price > 0; }
+  PackingOrder ComputeOrder(const std::vector<Node*>& nodes) const;
 
  private:
-  bool IsRequiredKind(const Node& node) const;  // by a class
+  // Whether a class requires the kind of this node.
+  bool IsRequiredKind(const Node& node) const;
 
   const Context& context_;
   const ClusterView& view_;
--- a/src/scheduling/node_partition.h
+++ b/src/scheduling/node_partition.h
@@ -1,7 +1,7 @@
-// With many nodes each scheduler has a part of its zone's nodes for itself, by a hash that all know, and
-// places elsewhere only what finds no capacity or program there: schedulers with the same late view would
-// otherwise all choose the same nodes. Owns the list of the part's nodes and the mean level of load. Called
-// by PlacementIndex and NodeSelector.
+// With many nodes, partitions the nodes of each zone among the schedulers by a hash that all of them share. A
+// scheduler places tasks outside its partition only if it finds no capacity or program there. Otherwise
+// schedulers with the same stale view would all choose the same nodes. Owns the list of the partition's nodes
+// and the mean load. Called by PlacementIndex and NodeSelector.
 #pragma once
 
 #include <cstddef>
@@ -18,15 +18,16 @@
   NodePartition(const Context& context, const ClusterView& view, const NodePacking& packing)
       : context_(context), view_(view), packing_(packing) {}
 
-  // Assigns the nodes anew; `partitioned`: there are enough nodes to share them out.
+  // Recomputes the partition. `partitioned`: there are enough nodes to partition them; otherwise it is empty.
   void Assign(bool partitioned);
-  // After many changes of load.
-  void UpdateMeanLevel();
-  // Whether the node's load is not far above the mean.
-  bool IsBelowLevel(const Node& node) const;
-  // Where nodes have a price, the fullest first.
+  // Recomputes the mean load. To be called periodically.
+  void UpdateMeanLoad();
+  // Whether the node's load is at most kMaxPartitionLoadRatio times the mean.
+  bool IsBelowLoadLimit(const Node& node) const;
+  // The nodes of the partition, in packing order if nodes have a price.
   const std::vector<Node*>& nodes() const { return nodes_; }
-  std::size_t in_use() const { return in_use_; }  // the first of the nodes
+  // How many of the first nodes are in use; all if nodes have no price.
+  std::size_t in_use() const { return in_use_; }
 
  private:
   const Context& context_;
@@ -34,7 +35,7 @@
   const NodePacking& packing_;
   std::vector<Node*> nodes_;
   std::size_t in_use_ = 0;
-  double mean_level_ = 0;  // requested cores over cores, of all healthy nodes
+  double mean_load_ = 0;  // requested cores over cores, for all healthy nodes
 };
 
 }  // namespace scheduling::internal
--- a/src/scheduling/node_scorer.cpp
+++ b/src/scheduling/node_scorer.cpp
@@ -11,7 +11,7 @@
   const Settings& settings = context_.settings;
   const bool has_program = services_.HasProgram(node);
   if (!node.capacity_known) return {node.entry.node, 0, 0, has_program};
-  const double added = has_program ? task.cores : kProgramStartTasks * settings.mean_cores;
+  const double added = has_program ? task.cores : kProgramStartLoad * settings.mean_cores;
   return {node.entry.node, (node.requested.cores + added) / settings.mean_cores, Weight(node), has_program};
 }
 
--- a/src/scheduling/node_scorer.h
+++ b/src/scheduling/node_scorer.h
@@ -1,6 +1,6 @@
-// The score of a node: C over W, what it has to do over its weight, the least being best. The weight is that
-// of "Least-Connection Algorithm based on variable weight for multimedia transmission": the Euclidean norm of
-// the free shares of memory and cores times the node's size, with a factor for each. Holds no state. Called
+// Scores a node as its load divided by its weight; the least score is the best. The weight follows
+// "Least-Connection Algorithm based on variable weight for multimedia transmission": the Euclidean norm of
+// the free shares of memory and cores, each multiplied by the node's size and a factor. Has no state. Called
 // by NodeSelector and PlacementIndex.
 #pragma once
 
@@ -13,9 +13,9 @@
 
 struct Candidate {
   NodeId node = 0;
-  double load = 0;           // C, in mean tasks
-  double weight = 1;         // W; 0: the node's capacity is unknown
-  bool has_program = false;  // the node keeps the program of the service at hand
+  double load = 0;           // in mean tasks
+  double weight = 1;         // 0: the node's capacity is unknown
+  bool has_program = false;  // the node has the program of the selected service
 };
 
 class NodeScorer {
@@ -24,8 +24,9 @@
              const SlowStartLimiter& slow_start)
       : context_(context), view_(view), services_(services), slow_start_(slow_start) {}
 
-  // Load and weight with the task placed there.
+  // The node's load with the task placed on it, and its weight.
   Candidate Score(const Node& node, const Task& task) const;
+  // The weight by the free capacity of the node. Always positive.
   double Weight(const Node& node) const;
 
  private:
--- a/src/scheduling/node_selector.h
+++ b/src/scheduling/node_selector.h
@@ -1,6 +1,6 @@
-// The choice of a node for an attempt: of the nodes that may run the task, one of the least score, drawn
-// among near-ties. With many nodes the own partition comes first, then the least scores of PlacementIndex.
-// Owns the candidates of the choice at hand. Called by RequestLifecycle.
+// Selects the node for an attempt: among the nodes that may run the task, one of the least score, with a
+// choice among near-ties by a hash of the service and the node. With many nodes the own partition is searched
+// first, then PlacementIndex. Owns the candidates of the current selection. Called by RequestLifecycle.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 class NodeSelector {
  public:
-  // The components that a choice reads; all outlive the selector.
+  // The components that a selection reads. All must outlive the selector.
   struct Components {
     ClusterView& view;
     const UsageEstimator& usage;
@@ -39,39 +39,42 @@
     const PendingQueue& pending;
   };
 
-  NodeSelector(Context& context, const Components& components) : context_(context), in_(components) {}
+  NodeSelector(Context& context, const Components& components) : context_(context), components_(components) {}
 
-  // Nothing where no node may run the task now, or where it is the turn of other schedulers.
+  // Returns nothing if no node may run the task now, or if scarce capacity is left to other schedulers.
   std::optional<NodeId> Select(const Request& request);
 
  private:
   struct IndexSearch {
     const Request& request;
-    double load;  // of the candidates and the unseen placements of others
+    double load;  // sum over the candidates and the unseen placements of other schedulers
     double weight;
-    double competing;  // requests that need capacity too
+    double competing;  // requests of other schedulers that need capacity too
     std::size_t examined = 0;
   };
 
   void ScanNodes(const Request& request);
   void SearchIndex(const Request& request);
-  void SearchKinds(IndexSearch* search);
-  // Whether the search is to go on after this node.
+  void SearchNodeKinds(IndexSearch* search);
+  // Adds the node if it is preferred. Returns whether the search continues after this node.
   bool Examine(Node* node, IndexSearch* search);
-  // Whether the partition has a candidate.
+  // Returns whether the partition has a candidate.
   bool SearchPartition(const Request& request);
   void AddIfPreferred(Node* node, const Request& request);
   void AddCandidate(const Node& node, const Request& request);
-  void ScoreUnknownAsMean();
-  bool HasTurn(const Request& request);
-  double NearTieLevel() const;
-  NodeId DrawNearTie(std::uint64_t service);
+  // Gives the candidates of unknown capacity the mean score of the others.
+  void AssignMeanScoreToUnknown();
+  bool AdmitsUnderContention(const Request& request);
+  // The score up to which candidates are near-ties. The candidates must be sorted by score.
+  double NearTieThreshold() const;
+  NodeId SelectNearTie(std::uint64_t service);
 
   Context& context_;
-  const Components in_;
-  std::vector<Candidate> candidates_;  // these are of one choice, and keep their memory
+  const Components components_;
+  // State of the current selection; the vectors are members to reuse their memory.
+  std::vector<Candidate> candidates_;
   std::vector<Node*> not_preferred_;
-  double free_slots_ = 0;  // tasks like this that the candidates have capacity for
+  double free_slots_ = 0;  // number of tasks of this shape that the candidates have capacity for
   bool from_partition_ = false;
 };
 
--- a/src/scheduling/outlier_detector.cpp
+++ b/src/scheduling/outlier_detector.cpp
@@ -15,12 +15,13 @@
   if (failures == 0) {
     const auto key = [](const Node* other) { return other->key; };
     ejected_.insert(std::ranges::upper_bound(ejected_, node->key, {}, key), node);
-    context_.Log("node " + std::to_string(node->entry.node) + " does not answer, set aside");
+    context_.Log("node " + std::to_string(node->entry.node) +
+                 " ejected after a failed attempt or health check");
   }
-  const Time pause = std::min<Time>(kMaxEjection, kInitialEjection << std::min(failures, kMaxDoublings));
+  const Time duration = std::min<Time>(kMaxEjection, kInitialEjection << std::min(failures, kMaxDoublings));
   ++failures;
-  const double jitter = 0.75 + 0.5 * context_.Draw();
-  node->ejected_until = context_.now + static_cast<Time>(static_cast<double>(pause) * jitter);
+  const double jitter = 0.75 + 0.5 * context_.UniformRandom();
+  node->ejected_until = context_.now + static_cast<Time>(static_cast<double>(duration) * jitter);
   view_.MarkChanged(node);
 }
 
--- a/src/scheduling/parameters.h
+++ b/src/scheduling/parameters.h
@@ -1,5 +1,5 @@
-// The parameters of the decisions: values that somebody chose, with unit and reason. How each could be
-// derived: docs/design/scheduling-parameters.md.
+// Parameters of the scheduling decisions, with units and reasons. docs/design/scheduling-parameters.md
+// describes how each could be derived.
 #pragma once
 
 #include <cstddef>
@@ -8,86 +8,98 @@
 
 namespace scheduling::internal {
 
-// Factors of memory and cores in a node's weight. The source leaves them open but for their sum.
+// Factors of the memory and cores terms in a node's weight. The published algorithm fixes only their sum.
 constexpr double kMemoryFactor = 0.5;
 constexpr double kCoresFactor = 1 - kMemoryFactor;
-constexpr double kNearTieMargin = 0.08;  // share of the least score within which scores are always near-ties
+constexpr double kNearTieMargin = 0.08;  // scores within this share of the least score are always near-ties
 
-// Placements of other schedulers stay unseen for kUnseenSeconds, and each takes kWeightLossPerPlacement off a
-// node's weight. Their rate is that of own arrivals, counted over kRateTimeConstant; kInitialRateCount of
-// them are assumed at the start. kUnboundedLevel: no limit.
-constexpr double kUnseenSeconds = 4;
+// Placements by other schedulers are missing from the view for kUnseenPlacementSeconds, and each lowers a
+// node's weight by kWeightLossPerPlacement. Their rate is estimated from this scheduler's own arrivals, as a
+// decaying count with time constant kRateTimeConstant that starts at kInitialRateCount. kUnboundedThreshold:
+// no limit.
+constexpr double kUnseenPlacementSeconds = 4;
 constexpr double kWeightLossPerPlacement = 0.35;
 constexpr double kRateTimeConstant = 5 * kSecond;
 constexpr double kInitialRateCount = 2;
-constexpr double kUnboundedLevel = 1e6;
-
-// Load of a placement where the program is not on the node, in mean tasks: a late start costs by size, as
-// load does.
-constexpr double kProgramStartTasks = 60;
-constexpr Time kProgramKeptFor = 8 * kSecond;  // on a node, after the last task of its service
-constexpr Time kRefusalOutweighsList =
-    1500 * kMs;  // so long a refusal for lack of capacity outweighs the list
-
-// Shares of cores busy and memory in use that a placement may bring a node to. Where no node stays below
-// them, past its class's degradation start by kDegradationUsed of its span, and memory up to kMaxMemoryLimit:
-// served poorly is better than not served.
+constexpr double kUnboundedThreshold = 1e6;
+
+// Load, in mean tasks, of placing a task on a node that does not have its program. Like load, a late start
+// costs in proportion to the size of the task.
+constexpr double kProgramStartLoad = 60;
+constexpr Time kProgramRetention = 8 * kSecond;  // on a node, after the last task of the service has ended
+// After a refusal for lack of capacity, changes of the free capacity in the endpoint list are not taken as
+// proof that capacity is free again for this long.
+constexpr Time kRefusalHoldTime = 1500 * kMs;
+
+// Shares of busy cores and used memory up to which placements may fill a node. If every node would exceed
+// them, cores may be filled up to kAcceptedDegradation of the class's degradation span and memory up to
+// kMaxMemoryLimit, since a degraded service is better than none.
 constexpr double kMaxBusyCores = 0.95;
 constexpr double kMaxMemoryUse = 0.92;
-constexpr double kDegradationUsed = 0.3;
+constexpr double kAcceptedDegradation = 0.3;
 constexpr double kMaxMemoryLimit = 1.0;
 
-constexpr double kLargeTaskSizes = 4;  // mean sizes from which a task is large: a node is reserved per class
-constexpr double kInitialLargest =
-    0.35;  // of a node: largest task of a class that needs its kind, until seen
+// A task larger than this multiple of the mean task is large; one node per class is reserved for large tasks.
+constexpr double kLargeTaskFactor = 4;
+// Assumed largest task of a class that requires a node kind, as a share of such a node, until one was seen.
+constexpr double kInitialLargestTask = 0.35;
 
-// With many nodes a scheduler places in its own partition up to kMaxPartitionLevel times the mean level,
-// where no placements of others are missing from the view. There a start of a program that is not kept weighs
-// kColdStartWeight of one that is, and what waits to start is load in mean tasks.
-constexpr double kMaxPartitionLevel = 1.1;
+// With many nodes, a scheduler places tasks in its own partition on nodes whose load is at most
+// kMaxPartitionLoadRatio times the mean. Other schedulers place little there, so that the view is current.
+// The load of such a node includes its start backlog, in which starting a program that the node does not have
+// counts as kColdStartWeight and starting one that it has as 1.
+constexpr double kMaxPartitionLoadRatio = 1.1;
 constexpr double kColdStartWeight = 9;
 
-// Health checks, so far apart over all schedulers, so many of these at one node: a load report corrects the
-// estimate of use.
+// Interval of health checks over all schedulers together, and how many schedulers check the same node at
+// about the same time. The load reports correct the estimates of use.
 constexpr Time kHealthCheckInterval = 100 * kMs;
-constexpr int kSchedulersPerCheckTurn = 10;
+constexpr int kSchedulersPerCheckRound = 10;
 
-// Share of the nodes in use that is filled before one more is used, and kPriceFillFactor times the node
-// price.
+// Nodes in use are filled up to this share plus kPriceFillFactor times the node price before another node is
+// used.
 constexpr double kFillShare = 0.25;
 constexpr double kPriceFillFactor = 2;
 
-// Attempt timeouts in mean answer times, within bounds; the second of each where an answer says that the task
-// runs.
-constexpr double kTimeoutMeans = 6;
-constexpr double kStartTimeoutMeans = 9;
+// Attempt time-outs as multiples of the mean acceptance time, and their bounds. The start time-outs apply
+// where acceptance means that the task is running.
+constexpr double kTimeoutFactor = 6;
+constexpr double kStartTimeoutFactor = 9;
 constexpr Time kMinTimeout = 500 * kMs;
 constexpr Time kMaxTimeout = 2000 * kMs;
 constexpr Time kMinStartTimeout = 1000 * kMs;
 
-// A node that fails is ejected for the first of these, doubling up to the second.
+// The first ejection of a failing node lasts kInitialEjection; the duration doubles up to kMaxEjection.
 constexpr Time kInitialEjection = 400 * kMs;
 constexpr Time kMaxEjection = 5 * kSecond;
-constexpr Time kRejectedClassPause = 4 * kSecond;  // a node gets none of what it refused without a reason
-constexpr Time kDegradedPause = 2 * kSecond;  // not preferred after a report of service or memory past these
+// A node that refused a class of a tenant without a reason gets no task of that class and tenant for this
+// long.
+constexpr Time kRejectedClassBackoff = 4 * kSecond;
+// A node is not preferred for kDegradedPeriod after an eviction or after a report of a service level below
+// kPoorServiceLevel or a memory pressure above kHighMemoryPressure.
+constexpr Time kDegradedPeriod = 2 * kSecond;
 constexpr double kPoorServiceLevel = 0.9;
 constexpr double kHighMemoryPressure = 0.92;
 
-constexpr Time kPendingRetryInterval = 50 * kMs;  // pending requests are tried again this often
-constexpr Time kViewAge = 1500 * kMs;             // the free capacity in the endpoint list is about this old
-constexpr Time kMaxListSilence = 5 * kSecond;     // a silent subscription is renewed
-
-constexpr double kOverloadWindowMargin = 1.3;  // on the overload window: connecting and clocks shift sends
-constexpr int kTurnsPerWindow = 2;    // of what equal shares leave over, in that window, which meets one more
-constexpr int kMaxLogMessages = 100;  // lines in the life of a scheduler
-
-// Above kIndexedFrom nodes the least scores come from an index, and at least kMinCandidates of them are
-// ranked; it is renewed this often where the mean use has moved by kUseDrift. Past kMaxExamined nodes any
-// allowed node is taken.
-constexpr std::size_t kIndexedFrom = 64;
+constexpr Time kPendingRetryInterval = 50 * kMs;  // interval at which pending requests are retried
+constexpr Time kViewAge = 1500 * kMs;             // typical age of the free capacity in the endpoint list
+constexpr Time kMaxEndpointListSilence = 5 * kSecond;  // a subscription silent for longer is renewed
+
+// Margin on the overload window: connection set-up and clock differences shift the times at which attempts
+// reach a node.
+constexpr double kOverloadWindowMargin = 1.3;
+// Slots per overload window in which the remainder of equal shares is assigned; any window overlaps one more.
+constexpr int kSlotsPerWindow = 2;
+constexpr int kMaxLogMessages = 100;  // during the lifetime of a scheduler
+
+// Up to kMaxScannedNodes nodes are scanned for each placement; with more, candidates come from an index, and
+// at least kMinCandidates of them are ranked. Every kIndexRefreshInterval the index is rewritten if the mean
+// use has drifted by more than the share kMaxMeanUseDrift. If none of kMaxExamined nodes is preferred, an
+// allowed one is taken.
+constexpr std::size_t kMaxScannedNodes = 64;
 constexpr std::size_t kMinCandidates = 8;
 constexpr std::size_t kMaxExamined = 128;
-constexpr Time kIndexRenewal = 250 * kMs;
-constexpr double kUseDrift = 0.01;
+constexpr Time kIndexRefreshInterval = 250 * kMs;
+constexpr double kMaxMeanUseDrift = 0.01;
 
 }  // namespace scheduling::internal
--- a/src/scheduling/pending_queue.h
+++ b/src/scheduling/pending_queue.h
@@ -1,5 +1,5 @@
-// The requests that wait for capacity, and by when each unanswered request is answered. Owns both; the
-// requests themselves are in the request table. Called by RequestLifecycle.
+// Holds the ids of requests that wait for capacity, and the times by which unanswered requests must be
+// answered. The requests themselves are in the request table. Called by RequestLifecycle.
 #pragma once
 
 #include <cstddef>
@@ -23,14 +23,14 @@
   void Remove(RequestId id) { pending_.erase(id); }
   bool Contains(RequestId id) const { return pending_.contains(id); }
   std::size_t size() const { return pending_.size(); }
-  template <typename Visit>  // visit(id), in no order to rely on
+  template <typename Visit>  // calls visit(id) in unspecified order
   void ForEach(Visit visit) const {
     for (const RequestId id : pending_) visit(id);
   }
 
   bool IsRetryDue() const { return !pending_.empty() && context_.now >= retry_at_; }
   void ScheduleRetry(Time delay) { retry_at_ = context_.now + delay; }
-  // When pending requests are tried again; kNever: none wait.
+  // When pending requests are retried next; kNever if there are none.
   Time NextRetry() const { return pending_.empty() ? kNever : retry_at_; }
 
   void AddDeadline(Time at, RequestId id) { deadlines_.emplace(at, id); }
@@ -43,7 +43,7 @@
   const Context& context_;
   cluster_manager::NumberSet<RequestId> pending_;
   Time retry_at_ = 0;
-  // Those of requests that were answered early are dropped as they come up.
+  // Entries of requests that were answered earlier are dropped when they reach the front.
   std::priority_queue<Deadline, std::vector<Deadline>, std::greater<>> deadlines_;
 };
 
--- a/src/scheduling/placement_index.cpp
+++ b/src/scheduling/placement_index.cpp
@@ -10,15 +10,17 @@
 namespace scheduling::internal {
 namespace {
 
-bool HasDrifted(double value, double indexed) { return std::abs(value - indexed) > kUseDrift * indexed; }
+bool HasDrifted(double value, double indexed) {
+  return std::abs(value - indexed) > kMaxMeanUseDrift * indexed;
+}
 
 }  // namespace
 
 void PlacementIndex::Configure(bool rebuild) {
   const Settings& settings = context_.settings;
-  const bool many = settings.shows_free_capacity && view_.nodes().size() > kIndexedFrom;
+  const bool many = settings.shows_free_capacity && view_.nodes().size() > kMaxScannedNodes;
   if (many == std::exchange(active_, many) && !rebuild) return;
-  for (const RatioIndex& index : kinds_) examined_in_dropped_ += index.looked();
+  for (const RatioIndex& index : kinds_) examined_in_discarded_ += index.looked();
   kinds_.assign(many ? settings.kind_cores.size() : 0, {});
   view_.TrackChanges(many);
   view_.ClearChanged();
@@ -26,7 +28,7 @@
     node->changed = false;
     view_.MarkChanged(node);
   }
-  renewal_at_ = 0;
+  next_drift_refresh_ = 0;
 }
 
 void PlacementIndex::AssignPartition() {
@@ -37,25 +39,25 @@
 }
 
 void PlacementIndex::Refresh() {
-  if (context_.now >= renewal_at_) Renew();
-  for (Node* node : view_.changed()) Write(node);
+  if (context_.now >= next_drift_refresh_) RefreshDrifted();
+  for (Node* node : view_.changed()) UpdateEntry(node);
   view_.ClearChanged();
 }
 
-void PlacementIndex::Renew() {
-  renewal_at_ = context_.now + kIndexRenewal;
+void PlacementIndex::RefreshDrifted() {
+  next_drift_refresh_ = context_.now + kIndexRefreshInterval;
   const Resources& mean = usage_.mean();
   if (HasDrifted(mean.cores, indexed_mean_.cores) || HasDrifted(mean.memory, indexed_mean_.memory)) {
     indexed_mean_ = mean;
-    for (Node* node : view_.nodes()) Write(node);
+    for (Node* node : view_.nodes()) UpdateEntry(node);
   }
-  for (Node* node : warming_up_) Write(node);
+  for (Node* node : warming_up_) UpdateEntry(node);
   reserved_.Assign();
   if (context_.settings.node_price > 0) AssignPartition();
-  partition_.UpdateMeanLevel();
+  partition_.UpdateMeanLoad();
 }
 
-void PlacementIndex::Write(Node* node) {
+void PlacementIndex::UpdateEntry(Node* node) {
   node->changed = false;
   if (!node->IsHealthy()) {
     RemoveFromAll(*node);
@@ -67,15 +69,16 @@
   const double cores = view_.Cores(*node);
   const double memory = view_.Memory(*node);
   const Resources& requested = node->requested;
-  const Resources& refused = node->refused_from;
+  const Resources& refused = node->smallest_refused;
   const Resources& correction = node->use_correction;
   const Resources& used = view_.Use(*node);
-  // Capacity by use is shown larger than it is by what the mean may have drifted: the filters are exact.
+  // The capacity by use is overstated by the possible drift of the mean, so that no fitting node is skipped.
+  // NodeFilter checks the exact values.
   const RatioIndex::Rooms capacity{
       std::min(cores * settings.cores_overcommit - requested.cores, refused.cores),
       std::min(memory * settings.memory_overcommit - requested.memory, refused.memory),
-      (max_busy * cores - (1 - 2 * kUseDrift) * used.cores) / correction.cores,
-      (kMaxMemoryLimit * memory - (1 - 2 * kUseDrift) * used.memory) / correction.memory};
+      (max_busy * cores - (1 - 2 * kMaxMeanUseDrift) * used.cores) / correction.cores,
+      (kMaxMemoryLimit * memory - (1 - 2 * kMaxMeanUseDrift) * used.memory) / correction.memory};
   kinds_[view_.KindIndex(*node)].Set(node->slot, {requested.cores, scorer_.Weight(*node), capacity});
 }
 
@@ -87,15 +90,15 @@
   if (active_) kinds_[view_.KindIndex(node)].Clear(node.slot);
 }
 
-void PlacementIndex::Forget(Node* node) {
+void PlacementIndex::Remove(Node* node) {
   std::erase(warming_up_, node);
   RemoveFromAll(*node);
 }
 
 std::uint64_t PlacementIndex::examined() const {
-  std::uint64_t all = examined_in_dropped_;
-  for (const RatioIndex& index : kinds_) all += index.looked();
-  return all;
+  std::uint64_t total = examined_in_discarded_;
+  for (const RatioIndex& index : kinds_) total += index.looked();
+  return total;
 }
 
 }  // namespace scheduling::internal
--- a/src/scheduling/placement_index.h
+++ b/src/scheduling/placement_index.h
@@ -1,7 +1,7 @@
-// With many nodes, an index by score for each kind of node, so that a placement examines a few nodes only.
-// What it holds may be old by kUseDrift; NodeSelector filters and scores what it finds again. A few nodes are
-// scanned faster than an index of them is kept: then it is not active. Owns the indexes and the list of nodes
-// warming up. Called by NodeSelector and EndpointListUpdater.
+// With many nodes, an index by score for each node kind, so that a placement examines only a few nodes.
+// Entries may deviate from the current state by kMaxMeanUseDrift; NodeSelector filters and scores the nodes
+// found again. With few nodes the index is not active, because scanning them is faster than maintaining it.
+// Owns the indexes and the list of nodes warming up. Called by NodeSelector and EndpointListUpdater.
 #pragma once
 
 #include <cstddef>
@@ -35,24 +35,25 @@
         partition_(partition) {}
 
   bool active() const { return active_; }
-  // After a change of the list, or of the settings (`rebuild`): whether to be active.
+  // Activates or deactivates the index by the number of nodes. To be called after a change of the endpoint
+  // list, and with `rebuild` after a change of the settings.
   void Configure(bool rebuild = false);
-  // Assigns the partition and finds the nodes that warm up.
+  // Recomputes the partition and the list of nodes warming up.
   void AssignPartition();
-  // Before a search: writes what has changed, and at intervals what drifts.
+  // Updates the entries of changed nodes, and periodically those that drift. To be called before a search.
   void Refresh();
-  // By kind; slots are those of ClusterView.
+  // The indexes by node kind. Their slots are those of ClusterView.
   std::vector<RatioIndex>& kinds() { return kinds_; }
-  // The node's kind changes: it leaves the index of the old one.
+  // Removes the node from the index of its kind. To be called before its kind changes.
   void RemoveFromKind(const Node& node);
-  // The node is erased.
-  void Forget(Node* node);
-  // Entries examined since the start.
+  // To be called before the node is erased.
+  void Remove(Node* node);
+  // The number of entries examined since construction.
   std::uint64_t examined() const;
 
  private:
-  void Renew();
-  void Write(Node* node);
+  void RefreshDrifted();
+  void UpdateEntry(Node* node);
   void RemoveFromAll(const Node& node);
 
   const Context& context_;
@@ -63,11 +64,11 @@
   ReservedNodes& reserved_;
   NodePartition& partition_;
   std::vector<RatioIndex> kinds_;
-  std::vector<Node*> warming_up_;  // as of the last change of the list
+  std::vector<Node*> warming_up_;  // as of the last AssignPartition
   bool active_ = false;
-  Time renewal_at_ = 0;
-  Resources indexed_mean_{1, 1};           // mean use when the nodes were written
-  std::uint64_t examined_in_dropped_ = 0;  // indexes
+  Time next_drift_refresh_ = 0;
+  Resources indexed_mean_{1, 1};             // mean use at the last update of all entries
+  std::uint64_t examined_in_discarded_ = 0;  // entries examined in indexes that no longer exist
 };
 
 }  // namespace scheduling::internal
--- a/src/scheduling/refusal_tracker.cpp
+++ b/src/scheduling/refusal_tracker.cpp
@@ -6,7 +6,7 @@
 
 namespace scheduling::internal {
 
-void RefusalTracker::RecordUnaccepted(Node* node, Request* request, const AttemptEnded& event) {
+void RefusalTracker::RecordUnacceptedAttempt(Node* node, Request* request, const AttemptEnded& event) {
   switch (event.outcome) {
     case Outcome::kRefused:
       RecordRefusal(node, request, event.reason);
@@ -16,7 +16,8 @@
       break;
     case Outcome::kTimedOut:
     case Outcome::kAborted:
-      // A node that accepted another task since answers; it has lost only this attempt.
+      // A node that has accepted another task since the attempt started is responsive; only this attempt was
+      // lost.
       if (node->accepted_at <= request->sent_at) outliers_.RecordFailure(node);
       [[fallthrough]];
     case Outcome::kError:
@@ -32,14 +33,14 @@
 void RefusalTracker::RecordRefusal(Node* node, Request* request, EndReason reason) {
   outliers_.RecordSuccess(node);
   const Task& task = request->task;
-  if (reason == EndReason::kUnspecified) {  // taken for a limit on the class of the tenant
-    const auto is_over = [this](const RejectedClass& rejected) { return rejected.until <= context_.now; };
-    std::erase_if(node->rejected_classes, is_over);
-    node->rejected_classes.push_back({task.class_index, task.tenant, context_.now + kRejectedClassPause});
+  if (reason == EndReason::kUnspecified) {  // assumed to be a limit on this class of the tenant
+    const auto is_expired = [this](const RejectedClass& rejected) { return rejected.until <= context_.now; };
+    std::erase_if(node->rejected_classes, is_expired);
+    node->rejected_classes.push_back({task.class_index, task.tenant, context_.now + kRejectedClassBackoff});
     return;
   }
-  node->refused_at = context_.now;
-  Resources& refused = node->refused_from;
+  node->last_refused_at = context_.now;
+  Resources& refused = node->smallest_refused;
   if (reason == EndReason::kNoCores) refused.cores = std::min(refused.cores, task.cores);
   if (reason == EndReason::kNoMemory) refused.memory = std::min(refused.memory, task.memory);
   if (reason == EndReason::kNotAcceptedHere || reason == EndReason::kQueueFull) {
--- a/src/scheduling/refusal_tracker.h
+++ b/src/scheduling/refusal_tracker.h
@@ -1,4 +1,5 @@
-// What an attempt that was not accepted says about its node and its request. Called by RequestLifecycle.
+// Records the consequences of an attempt that was not accepted, for its node and its request. Called by
+// RequestLifecycle.
 #pragma once
 
 #include "scheduling/cluster_view.h"
@@ -13,7 +14,9 @@
   RefusalTracker(const Context& context, ClusterView& view, OutlierDetector& outliers)
       : context_(context), view_(view), outliers_(outliers) {}
 
-  void RecordUnaccepted(Node* node, Request* request, const AttemptEnded& event);
+  // Updates the node and the request by the outcome of the attempt. `request` must still hold the attempt's
+  // node and start time.
+  void RecordUnacceptedAttempt(Node* node, Request* request, const AttemptEnded& event);
 
  private:
   void RecordRefusal(Node* node, Request* request, EndReason reason);
--- a/src/scheduling/request.h
+++ b/src/scheduling/request.h
@@ -1,4 +1,4 @@
-// The record of a request and the table of all requests that are open or whose task runs.
+// The record of a request and the table of all requests that are open or have a running task.
 #pragma once
 
 #include <vector>
@@ -11,23 +11,23 @@
 
 struct Request {
   Task task;
-  bool unanswered = true;     // the client waits for the final answer
-  bool in_flight = false;     // an attempt has no result yet, or its task runs
-  bool accepted = false;      // the task runs
-  bool may_have_run = false;  // an earlier attempt may have been accepted
+  bool unanswered = true;     // the client is waiting for the final answer
+  bool in_flight = false;     // an attempt has no result yet, or its task is running
+  bool accepted = false;      // a node has accepted the task
+  bool may_have_run = false;  // the task may have run in an earlier attempt
   int attempts = 0;
-  int max_attempts = 0;   // by the settings at its arrival
-  NodeId node = 0;        // of the attempt in flight
-  NodeId first_node = 0;  // of the first attempt that may have run
-  Time sent_at = 0;
-  Time first_sent_at = 0;
-  Resources use;          // recorded at its node
-  double start_work = 0;  // counted in its node's start queue
-  int rank = 0;           // of the zone policy
+  int max_attempts = 0;    // by the settings at arrival
+  NodeId node = 0;         // of the latest attempt
+  NodeId first_node = 0;   // of the first attempt that may have run
+  Time sent_at = 0;        // start of the latest attempt
+  Time first_sent_at = 0;  // start of the first attempt that may have run
+  Resources use;           // use recorded at the node in ClusterView
+  double start_cost = 0;   // share of the node's start backlog
+  int rank = 0;            // assigned by the zone policy
   std::vector<NodeId> failed_on;
 };
 
-// A pointer to a request is valid until the next insertion.
+// Pointers to requests are valid until the next insertion.
 using RequestTable = cluster_manager::NamedTable<RequestId, Request>;
 
 }  // namespace scheduling::internal
--- a/src/scheduling/request_lifecycle.cpp
+++ b/src/scheduling/request_lifecycle.cpp
@@ -19,39 +19,40 @@
 }
 
 bool RequestLifecycle::CanAttempt(const Request& request) const {
-  return !in_.retry.IsExhausted(request) && in_.retry.HasAttemptsLeft(request) &&
-         context_.now < in_.retry.AnswerDeadline(request) && !IsShed(request) &&
-         !in_.retry.IsBoundToLostZone(request);
+  return !components_.retry.ForbidsRetry(request) && components_.retry.HasAttemptsLeft(request) &&
+         context_.now < components_.retry.AnswerDeadline(request) && !IsShed(request) &&
+         !components_.retry.IsBoundToLostZone(request);
 }
 
-void RequestLifecycle::Answer(Request* request) {
+void RequestLifecycle::SendFinalAnswer(Request* request) {
   if (!std::exchange(request->unanswered, false)) return;
   const RequestId id = request->task.id;
-  in_.pending.Remove(id);
-  // By then the list shows what is free now; the zone policy spreads clients that come again.
-  const Time wanted =
+  components_.pending.Remove(id);
+  // After kViewAge the endpoint list shows what is free now. The zone policy spreads the retries of clients
+  // over time.
+  const Time delay =
       IsShed(*request) ? context_.zone_policy->RetryAfter(request->rank, request->task) : kViewAge;
-  const Time retry_after = std::min(wanted, context_.settings.max_retry_after);
-  if (in_.retry.MayReject(*request)) {
+  const Time retry_after = std::min(delay, context_.settings.max_retry_after);
+  if (components_.retry.CanReject(*request)) {
     context_.actions.emplace_back(RejectRequest{id, retry_after});
   } else {
     context_.actions.emplace_back(FailRequest{id});
   }
-  if (!request->in_flight) in_.requests.Erase(id);
+  if (!request->in_flight) components_.requests.Erase(id);
 }
 
 void RequestLifecycle::Place(Request* request) {
   if (!CanAttempt(*request)) {
-    Answer(request);
+    SendFinalAnswer(request);
     return;
   }
-  const std::optional<NodeId> node = in_.selector.Select(*request);
+  const std::optional<NodeId> node = components_.selector.Select(*request);
   if (!node) {
-    in_.pending.Add(request->task.id);
+    components_.pending.Add(request->task.id);
     return;
   }
-  in_.pending.Remove(request->task.id);
-  StartAttemptOn(in_.view.Find(*node), request);
+  components_.pending.Remove(request->task.id);
+  StartAttemptOn(components_.view.Find(*node), request);
 }
 
 void RequestLifecycle::StartAttemptOn(Node* node, Request* request) {
@@ -65,183 +66,188 @@
     request->first_node = id;
     request->first_sent_at = context_.now;
   }
-  request->use = in_.usage.ExpectedUse(task);
-  in_.view.RecordUse(node, *request, 1);
-  in_.view.AddOwnChange(node, task, 1);
-  in_.slow_start.RecordSend(node);
+  request->use = components_.usage.ExpectedUse(task);
+  components_.view.RecordUse(node, *request, 1);
+  components_.view.AddOwnChange(node, task, 1);
+  components_.slow_start.RecordSend(node);
   ZonePolicy* policy = context_.zone_policy;
   if (policy != nullptr) policy->RecordPlacement(node->entry.zone, task, context_.now);
-  ServicePlacement& placement = in_.services.At(task.service, id);
-  request->start_work = in_.services.KeepsProgram(placement) ? 1 : kColdStartWeight;
-  node->start_queue += request->start_work;
+  ServicePlacement& placement = components_.services.FindOrInsert(task.service, id);
+  request->start_cost = components_.services.RetainsProgram(placement) ? 1 : kColdStartWeight;
+  node->start_backlog += request->start_cost;
   ++placement.in_flight;
-  context_.actions.emplace_back(StartAttempt{task.id, id, in_.retry.AttemptDeadline(*request)});
+  context_.actions.emplace_back(StartAttempt{task.id, id, components_.retry.AttemptDeadline(*request)});
 }
 
 double RequestLifecycle::Value(const Request& request) const {
-  const double weight = context_.ClassOf(request.task).priority_weight;
-  return weight * (in_.quota.IsOver(request.task) ? context_.settings.over_quota_weight : 1);
+  const double weight = context_.ClassSettingsFor(request.task).priority_weight;
+  return weight * (components_.quota.IsOver(request.task) ? context_.settings.over_quota_weight : 1);
 }
 
 void RequestLifecycle::RetryPending() {
-  if (!in_.pending.IsRetryDue()) return;
-  order_.clear();
-  in_.pending.ForEach([this](RequestId id) {
-    const Request& request = *in_.requests.Find(id);
-    order_.push_back({Value(request), request.task.deadline, id});
+  if (!components_.pending.IsRetryDue()) return;
+  retry_order_.clear();
+  components_.pending.ForEach([this](RequestId id) {
+    const Request& request = *components_.requests.Find(id);
+    retry_order_.push_back({Value(request), request.task.deadline, id});
   });
-  std::sort(order_.begin(), order_.end());
-  unplaceable_.clear();  // the tasks of a service are alike: where one fits nowhere, none does
-  for (const PendingRequest& each : order_) {
-    Request* request = in_.requests.Find(each.id);
+  std::sort(retry_order_.begin(), retry_order_.end());
+  // Tasks of a service are alike: if one fits on no node, the others do not either.
+  unplaceable_services_.clear();
+  for (const PendingRequest& each : retry_order_) {
+    Request* request = components_.requests.Find(each.id);
     const std::uint64_t service = request->task.service;
-    const bool known = std::ranges::find(unplaceable_, service) != unplaceable_.end();
-    if (request->attempts == 0 && known) continue;
+    const bool unplaceable = std::ranges::find(unplaceable_services_, service) != unplaceable_services_.end();
+    if (request->attempts == 0 && unplaceable) continue;
     Place(request);
-    request = in_.requests.Find(each.id);
-    if (request != nullptr && request->attempts == 0 && in_.pending.Contains(each.id)) {
-      unplaceable_.push_back(service);
+    request = components_.requests.Find(each.id);
+    if (request != nullptr && request->attempts == 0 && components_.pending.Contains(each.id)) {
+      unplaceable_services_.push_back(service);
     }
   }
-  in_.pending.ScheduleRetry(kPendingRetryInterval);
+  components_.pending.ScheduleRetry(kPendingRetryInterval);
 }
 
 bool RequestLifecycle::AwaitsAnswer(RequestId id) const {
-  const Request* request = in_.requests.Find(id);
+  const Request* request = components_.requests.Find(id);
   return request != nullptr && request->unanswered && !request->accepted;
 }
 
-void RequestLifecycle::AnswerDue() {
-  while (in_.pending.HasDeadlines()) {
-    const auto [at, id] = in_.pending.FirstDeadline();
+void RequestLifecycle::AnswerDueRequests() {
+  while (components_.pending.HasDeadlines()) {
+    const auto [at, id] = components_.pending.FirstDeadline();
     if (at > context_.now && AwaitsAnswer(id)) return;
-    in_.pending.PopDeadline();
-    Request* request = in_.requests.Find(id);
+    components_.pending.PopDeadline();
+    Request* request = components_.requests.Find(id);
     if (request == nullptr || request->accepted) continue;
-    if (at == in_.retry.AnswerDeadline(*request)) Answer(request);
+    if (at == components_.retry.AnswerDeadline(*request)) SendFinalAnswer(request);
   }
 }
 
-void RequestLifecycle::ReorderDeadlines() {
-  in_.pending.ClearDeadlines();
-  in_.requests.ForEach([this](const Request& request) {
-    if (request.unanswered) in_.pending.AddDeadline(in_.retry.AnswerDeadline(request), request.task.id);
+void RequestLifecycle::RebuildDeadlines() {
+  components_.pending.ClearDeadlines();
+  components_.requests.ForEach([this](const Request& request) {
+    if (request.unanswered)
+      components_.pending.AddDeadline(components_.retry.AnswerDeadline(request), request.task.id);
   });
-  in_.pending.ScheduleRetry(0);
+  components_.pending.ScheduleRetry(0);
 }
 
 void RequestLifecycle::Handle(const TaskArrived& event) {
-  Request& request = *in_.requests.Insert(event.task.id, {});
+  Request& request = *components_.requests.Insert(event.task.id, {});
   request.task = event.task;
   request.max_attempts = context_.settings.max_attempts;
-  in_.reserved.RecordSize(request.task);
-  in_.pending.AddDeadline(in_.retry.AnswerDeadline(request), event.task.id);
+  components_.reserved.RecordTaskSize(request.task);
+  components_.pending.AddDeadline(components_.retry.AnswerDeadline(request), event.task.id);
   ZonePolicy* policy = context_.zone_policy;
   if (policy != nullptr) {
-    const bool over_quota = in_.quota.IsOver(request.task);
-    const bool large = in_.reserved.IsLarge(request.task);
+    const bool over_quota = components_.quota.IsOver(request.task);
+    const bool large = components_.reserved.IsLarge(request.task);
     request.rank = policy->AssignRank(request.task, over_quota, large, context_.now);
   }
   Place(&request);
-  in_.contention.RecordArrival();
+  components_.contention.RecordArrival();
 }
 
 void RequestLifecycle::Handle(const TaskClaimed& event) {
-  Request& request = *in_.requests.Insert(event.task.id, {});
+  Request& request = *components_.requests.Insert(event.task.id, {});
   request.task = event.task;
-  in_.reserved.RecordSize(request.task);
+  components_.reserved.RecordTaskSize(request.task);
   request.node = event.node;
   request.unanswered = false;
   request.in_flight = true;
   request.accepted = true;
   request.attempts = 1;
   request.sent_at = context_.now;
-  request.use = in_.usage.ExpectedUse(request.task);
-  Node* node = in_.view.FindOrInsert(event.node);
+  request.use = components_.usage.ExpectedUse(request.task);
+  Node* node = components_.view.FindOrInsert(event.node);
   node->entry.node = event.node;
-  in_.view.RecordUse(node, request, 1);
-  ++in_.services.At(request.task.service, event.node).in_flight;
-  in_.quota.Record(request.task, 1);
+  components_.view.RecordUse(node, request, 1);
+  ++components_.services.FindOrInsert(request.task.service, event.node).in_flight;
+  components_.quota.RecordRunningTask(request.task, 1);
 }
 
 void RequestLifecycle::Handle(const TaskAccepted& event) {
-  Request* request = in_.requests.Find(event.id);
+  Request* request = components_.requests.Find(event.id);
   if (request == nullptr || !request->in_flight) return;
   request->accepted = true;
   request->unanswered = false;
-  Node* node = in_.view.Find(request->node);
+  Node* node = components_.view.Find(request->node);
   if (context_.settings.accepted_means_running) {
-    node->start_queue -= std::exchange(request->start_work, 0);
+    node->start_backlog -= std::exchange(request->start_cost, 0);
   }
-  in_.outliers.RecordSuccess(node);
+  components_.outliers.RecordSuccess(node);
   node->accepted_at = context_.now;
-  in_.quota.Record(request->task, 1);
-  in_.retry.RecordAnswerTime(event.duration);
+  components_.quota.RecordRunningTask(request->task, 1);
+  components_.retry.RecordAcceptanceTime(event.duration);
 }
 
 void RequestLifecycle::Handle(const AttemptEnded& event) {
-  Request* request = in_.requests.Find(event.id);
+  Request* request = components_.requests.Find(event.id);
   if (request == nullptr || !request->in_flight) return;
-  Node* node = in_.view.Find(request->node);
+  Node* node = components_.view.Find(request->node);
   request->in_flight = false;
-  node->start_queue -= std::exchange(request->start_work, 0);
-  in_.view.RecordUse(node, *request, -1);
-  ServicePlacement& placement = in_.services.At(request->task.service, request->node);
+  node->start_backlog -= std::exchange(request->start_cost, 0);
+  components_.view.RecordUse(node, *request, -1);
+  ServicePlacement& placement = components_.services.FindOrInsert(request->task.service, request->node);
   --placement.in_flight;
   if (request->accepted) {
     placement.ended_at = context_.now;
-    RecordEnd(node, *request, event);
+    RecordTaskEnd(node, *request, event);
   } else {
     const RequestId id = request->task.id;
-    in_.view.RemoveOwnChanges(node, [id](const OwnChange& change) { return change.id == id; });
-    in_.refusals.RecordUnaccepted(node, request, event);
+    components_.view.RemoveOwnChanges(node, [id](const OwnChange& change) { return change.id == id; });
+    components_.refusals.RecordUnacceptedAttempt(node, request, event);
   }
   if (event.is_final || request->accepted || !request->unanswered) {
-    in_.requests.Erase(event.id);
+    components_.requests.Erase(event.id);
   } else {
     Place(request);
   }
 }
 
-void RequestLifecycle::RecordEnd(Node* node, const Request& request, const AttemptEnded& event) {
-  in_.contention.RecordEnd();
-  in_.quota.Record(request.task, -1);
-  in_.view.AddOwnChange(node, request.task, -1);
+void RequestLifecycle::RecordTaskEnd(Node* node, const Request& request, const AttemptEnded& event) {
+  components_.contention.RecordTaskEnd();
+  components_.quota.RecordRunningTask(request.task, -1);
+  components_.view.AddOwnChange(node, request.task, -1);
   if (event.outcome != Outcome::kAborted) return;
-  if (event.reason == EndReason::kEvicted) node->degraded_until = context_.now + kDegradedPause;
-  if (event.reason == EndReason::kUnspecified) in_.outliers.RecordFailure(node);  // lost with its node
+  if (event.reason == EndReason::kEvicted) node->degraded_until = context_.now + kDegradedPeriod;
+  if (event.reason == EndReason::kUnspecified)
+    components_.outliers.RecordFailure(node);  // lost with the node
 }
 
 void RequestLifecycle::Handle(const RequestCancelled& event) {
-  Request* request = in_.requests.Find(event.id);
+  Request* request = components_.requests.Find(event.id);
   if (request == nullptr) return;
-  in_.pending.Remove(event.id);
+  components_.pending.Remove(event.id);
   request->unanswered = false;
-  if (!request->in_flight) in_.requests.Erase(event.id);
+  if (!request->in_flight) components_.requests.Erase(event.id);
 }
 
 void RequestLifecycle::Handle(const TaskReported& event) {
-  Request* request = in_.requests.Find(event.id);
+  Request* request = components_.requests.Find(event.id);
   if (request == nullptr || !request->in_flight) return;
-  Node* node = in_.view.Find(request->node);
-  in_.view.RecordUse(node, *request, -1);
-  if (event.kind == TaskReportKind::kStarted) node->start_queue -= std::exchange(request->start_work, 0);
-  in_.usage.Learn(event, request);
-  in_.view.RecordUse(node, *request, 1);
+  Node* node = components_.view.Find(request->node);
+  components_.view.RecordUse(node, *request, -1);
+  if (event.kind == TaskReportKind::kStarted) node->start_backlog -= std::exchange(request->start_cost, 0);
+  components_.usage.RecordReport(event, request);
+  components_.view.RecordUse(node, *request, 1);
   const bool poor = event.kind == TaskReportKind::kServiceLevel && event.level < kPoorServiceLevel;
-  const bool pressed = event.kind == TaskReportKind::kNodeMemoryPressure && event.level > kHighMemoryPressure;
-  if (poor || pressed) node->degraded_until = context_.now + kDegradedPause;
+  const bool under_pressure =
+      event.kind == TaskReportKind::kNodeMemoryPressure && event.level > kHighMemoryPressure;
+  if (poor || under_pressure) node->degraded_until = context_.now + kDegradedPeriod;
 }
 
 void RequestLifecycle::Handle(const ZonePolicyChanged&) {
-  in_.requests.ForEach([this](const Request& request) {
+  components_.requests.ForEach([this](const Request& request) {
     const ZonePolicy* policy = context_.zone_policy;
     if (policy == nullptr || !request.in_flight || request.accepted) return;
-    if (!policy->IsLost(in_.view.Find(request.node)->entry.zone)) return;
-    if (!in_.retry.IsSafeAnywhere(request.task) || !in_.retry.HasAttemptsLeft(request)) return;
+    if (!policy->IsLost(components_.view.Find(request.node)->entry.zone)) return;
+    if (!components_.retry.IsSafeOnAnyNode(request.task) || !components_.retry.HasAttemptsLeft(request))
+      return;
     context_.actions.emplace_back(CancelAttempt{request.task.id, request.attempts - 1});
   });
-  in_.pending.ScheduleRetry(0);
+  components_.pending.ScheduleRetry(0);
 }
 
 }  // namespace scheduling::internal
--- a/src/scheduling/request_lifecycle.h
+++ b/src/scheduling/request_lifecycle.h
@@ -1,6 +1,6 @@
-// The life of a request: placed, pending while no node has capacity, attempted elsewhere where that is safe,
-// and answered once, in time. Owns no table; it is the only writer of the request table. Called by
-// Scheduler::Handle.
+// The lifecycle of a request: it is placed, is pending while no node has capacity, is attempted on another
+// node if that is safe, and is answered exactly once before its deadline. Owns no table but is the only
+// writer of the request table. Called by Scheduler::Handle.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 
 class RequestLifecycle {
  public:
-  // The components that a request passes through; all outlive the lifecycle.
+  // The components involved in handling a request. All must outlive the lifecycle.
   struct Components {
     RequestTable& requests;
     ClusterView& view;
@@ -42,7 +42,8 @@
     NodeSelector& selector;
   };
 
-  RequestLifecycle(Context& context, const Components& components) : context_(context), in_(components) {}
+  RequestLifecycle(Context& context, const Components& components)
+      : context_(context), components_(components) {}
 
   void Handle(const TaskArrived& event);
   void Handle(const TaskClaimed& event);
@@ -50,14 +51,15 @@
   void Handle(const AttemptEnded& event);
   void Handle(const RequestCancelled& event);
   void Handle(const TaskReported& event);
-  // Attempts in a lost zone that may run elsewhere are cancelled.
+  // Cancels attempts in a lost zone that can safely be repeated on any node.
   void Handle(const ZonePolicyChanged& event);
 
-  // After a change of what deadlines depend on; pending requests are tried again at once.
-  void ReorderDeadlines();
-  // Answers the requests whose time has come.
-  void AnswerDue();
-  // Tries pending requests again where it is time to, the most valuable first.
+  // Recomputes the answer deadlines and makes pending requests due for retry. To be called after a change of
+  // the settings or of the time of shutdown.
+  void RebuildDeadlines();
+  // Answers the requests whose answer deadline has been reached.
+  void AnswerDueRequests();
+  // Retries pending requests if a retry is due, in order of decreasing value.
   void RetryPending();
 
  private:
@@ -68,24 +70,26 @@
     bool operator<(const PendingRequest& other) const;
   };
 
-  // Starts an attempt where the task fits, queues the request where it fits nowhere, answers it where no
-  // attempt can follow. The request may be erased.
+  // Starts an attempt if a node can take the task, queues the request if none can, and answers it if no
+  // further attempt is allowed. May erase the request.
   void Place(Request* request);
   void StartAttemptOn(Node* node, Request* request);
-  // The one final answer of a request that was not accepted. The request may be erased.
-  void Answer(Request* request);
+  // Sends the final answer, rejection or failure, of a request that was not accepted; does nothing if the
+  // request was answered already. May erase the request.
+  void SendFinalAnswer(Request* request);
   bool CanAttempt(const Request& request) const;
-  // Whether the zone policy does not admit this new request now.
+  // Whether the request has had no attempt and the zone policy does not admit it now.
   bool IsShed(const Request& request) const;
-  // Value of a second of the task.
+  // Value of a second of the task: its priority weight, adjusted if the tenant is over its quota.
   double Value(const Request& request) const;
   bool AwaitsAnswer(RequestId id) const;
-  void RecordEnd(Node* node, const Request& request, const AttemptEnded& event);
+  void RecordTaskEnd(Node* node, const Request& request, const AttemptEnded& event);
 
   Context& context_;
-  const Components in_;
-  std::vector<PendingRequest> order_;       // these are of one retry, and keep their memory
-  std::vector<std::uint64_t> unplaceable_;  // services
+  const Components components_;
+  // State of the current RetryPending call; members to reuse their memory.
+  std::vector<PendingRequest> retry_order_;
+  std::vector<std::uint64_t> unplaceable_services_;
 };
 
 }  // namespace scheduling::internal
--- a/src/scheduling/reserved_nodes.h
+++ b/src/scheduling/reserved_nodes.h
@@ -1,6 +1,7 @@
-// Keeps a node free for the largest task of each class: an even load would leave no node with the capacity
-// for it. Smaller tasks take that capacity only where nothing else fits. Owns the largest size and the
-// reserved node of each class. Called by NodeFilter, PlacementIndex and RequestLifecycle.
+// Reserves a node for the largest task of each class, since an even load would leave no node with enough
+// capacity for it. Smaller tasks use the reserved capacity only if they fit nowhere else. Owns the size of
+// the largest task and the reserved node of each class. Called by NodeFilter, PlacementIndex and
+// RequestLifecycle.
 #pragma once
 
 #include <cstddef>
@@ -17,24 +18,24 @@
   ReservedNodes(const Context& context, const ClusterView& view, const CapacityFilter& capacity)
       : context_(context), view_(view), capacity_(capacity) {}
 
-  // After a change of the settings; `sources` as in UsageEstimator::ResetClasses.
+  // To be called after a change of the settings. `sources` as in UsageEstimator::ResetClasses.
   void ResetClasses(const std::vector<std::size_t>& sources);
   bool IsLarge(const Task& task) const;
-  // A task of this size has come.
-  void RecordSize(const Task& task);
-  // Reserves for each class the node with the most capacity for its largest task.
+  // Updates the largest task of the class with an arrived or claimed task.
+  void RecordTaskSize(const Task& task);
+  // Reserves for each class the node with the most capacity for the class's largest task.
   void Assign();
-  // Whether the task would take the capacity that the node is reserved for.
-  bool Blocks(const Node& node, const Task& task) const;
+  // Whether the task is not large and would need capacity that is reserved on the node.
+  bool NeedsReservedCapacity(const Node& node, const Task& task) const;
 
  private:
   struct Reservation {
-    Resources largest;    // large task of the class
-    bool guessed = true;  // no task of the class was seen yet
+    Resources largest;     // size of the largest large task of the class; 0: none seen
+    bool is_guess = true;  // no task of the class has been seen yet
     NodeId node = 0;
   };
 
-  Reservation Initial(const ClassSettings& settings) const;
+  Reservation InitialReservation(const ClassSettings& settings) const;
 
   const Context& context_;
   const ClusterView& view_;
--- a/src/scheduling/resources.h
+++ b/src/scheduling/resources.h
@@ -1,4 +1,4 @@
-// Quantities that all components share: units of time and pairs of cores and memory.
+// Units of time and pairs of cores and memory, used by all components.
 #pragma once
 
 #include <limits>
@@ -17,9 +17,9 @@
   double cores = 0;
   double memory = 0;
 
-  void Add(double sign, const Resources& other) {
-    cores += sign * other.cores;
-    memory += sign * other.memory;
+  void AddScaled(double factor, const Resources& other) {
+    cores += factor * other.cores;
+    memory += factor * other.memory;
   }
 };
 
--- a/src/scheduling/retry_policy.h
+++ b/src/scheduling/retry_policy.h
@@ -1,5 +1,5 @@
-// Whether and where a request may be attempted again, how long an attempt may take and until when a request
-// is answered. Owns the mean answer time. Called by RequestLifecycle and NodeFilter.
+// Decides whether and on which nodes a request may be attempted again, how long an attempt may take and by
+// when a request is answered. Owns the mean acceptance time. Called by RequestLifecycle and NodeFilter.
 #pragma once
 
 #include <algorithm>
@@ -14,34 +14,34 @@
  public:
   RetryPolicy(const Context& context, const ClusterView& view) : context_(context), view_(view) {}
 
-  // When the request is answered at the latest.
+  // The latest time at which the request is answered.
   Time AnswerDeadline(const Request& request) const {
     return std::min(request.task.deadline, context_.shutdown_at) - 2 * context_.settings.tick;
   }
   bool HasAttemptsLeft(const Request& request) const {
     return request.attempts < std::min(request.max_attempts, context_.settings.max_attempts);
   }
-  // When an attempt that starts now has timed out. An attempt that must not be repeated keeps all its time,
-  // and so does the last one.
+  // When an attempt that starts now times out. The last attempt, and an attempt that must not be repeated,
+  // may take until the answer deadline.
   Time AttemptDeadline(const Request& request) const;
-  // A node accepted a task after this time.
-  void RecordAnswerTime(Time duration);
+  // Updates the mean acceptance time. `duration`: from the start of an attempt to its acceptance.
+  void RecordAcceptanceTime(Time duration);
 
-  // Whether no node may run the task any more, since it may have run.
-  bool IsExhausted(const Request& request) const;
-  // Whether the node may run the task: where it may have run, only a node that discards the repeat.
+  // Whether no node may run the task any more, because it may have run.
+  bool ForbidsRetry(const Request& request) const;
+  // Whether the node may run the task. If the task may have run, only a node that discards the repeat may.
   bool AllowsNode(const Node& node, const Request& request) const;
-  // Whether a retry is safe wherever the first attempt went.
-  bool IsSafeAnywhere(const Task& task) const;
-  // Whether the request may be answered as one of which nothing runs.
-  bool MayReject(const Request& request) const;
-  // Whether only a lost zone may still discard a repeat, and the zone policy rejects such requests.
+  // Whether a retry is safe on any node, whichever node the first attempt went to.
+  bool IsSafeOnAnyNode(const Task& task) const;
+  // Whether the request may be answered as rejected: no task of it runs, or a further execution is safe.
+  bool CanReject(const Request& request) const;
+  // Whether repeats can be discarded only in a lost zone, and the zone policy rejects such requests.
   bool IsBoundToLostZone(const Request& request) const;
 
  private:
   const Context& context_;
   const ClusterView& view_;
-  double mean_answer_time_ = 0;  // nanoseconds
+  double mean_acceptance_time_ = 0;  // nanoseconds; 0: none recorded
 };
 
 }  // namespace scheduling::internal
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -1,8 +1,8 @@
-// Scheduler::Handle, where every decision begins, and the components that make them. A request's way:
-// TaskArrived -> RequestLifecycle: NodeSelector filters the nodes and takes the one of the least score ->
-// StartAttempt -> TaskAccepted, or AttemptEnded -> attempted elsewhere where that is safe. A request that
-// fits nowhere is pending and tried again; one that is unanswered shortly before its deadline is answered
-// then.
+// Scheduler::Handle, the entry point of every decision, and the components that make the decisions. The path
+// of a request: TaskArrived -> RequestLifecycle, in which NodeSelector filters the nodes and takes one of the
+// least score -> StartAttempt -> TaskAccepted, or AttemptEnded -> a further attempt if that is safe. A
+// request that no node can take is pending and is retried. A request without an answer is answered shortly
+// before its deadline.
 #include "scheduling/scheduler.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 
 using namespace internal;
 
-// The components, each after those that it is given by reference.
+// The components, each declared after those that it refers to.
 struct Scheduler::State {
   Context context;
   RequestTable requests;
@@ -54,8 +54,8 @@
   RequestLifecycle lifecycle{context,
                              {requests, view, usage, services, slow_start, reserved, quota, retry, outliers,
                               refusals, contention, pending, selector}};
-  bool begun = false;
-  Time timer_at = 0;  // of the last timer
+  bool started = false;
+  Time timer_at = 0;  // time of the last timer set
 
   template <typename RequestEvent>
   void Handle(const RequestEvent& event) {
@@ -63,18 +63,18 @@
   }
   void Handle(const EndpointListChanged& event) { list_updater.Handle(event); }
   void Handle(const HealthCheckCompleted& event) { health_checks.Handle(event); }
-  void Handle(const TimerFired&) {}           // a timer only wakes the scheduler
-  void Handle(const PeerMessageReceived&) {}  // schedulers decide without messages
+  void Handle(const TimerFired&) {}           // Scheduler::Handle does what is due after every event
+  void Handle(const PeerMessageReceived&) {}  // schedulers do not exchange messages
   void Handle(const SettingsChanged& event);
   void Handle(const ShutdownScheduled& event);
 
-  void Begin();
+  void StartOnce();
   void ResetClasses(const std::vector<std::size_t>& sources);
   void SetNextTimer();
 };
 
-void Scheduler::State::Begin() {
-  if (std::exchange(begun, true)) return;
+void Scheduler::State::StartOnce() {
+  if (std::exchange(started, true)) return;
   context.started_at = context.now;
   contention.Start();
   health_checks.Start();
@@ -85,34 +85,35 @@
   reserved.ResetClasses(sources);
 }
 
-// Records stay; what is computed from the settings is computed anew.
+// Keeps the records of nodes and requests and recomputes everything that is derived from the settings.
 void Scheduler::State::Handle(const SettingsChanged& event) {
   try {
-    if (event.settings == nullptr) throw std::invalid_argument("none were given");
-    CheckSettings(*event.settings);
+    if (event.settings == nullptr) throw std::invalid_argument("event without settings");
+    ValidateSettings(*event.settings);
   } catch (const std::invalid_argument& error) {
-    context.actions.emplace_back(LogMessage{std::string("new settings are not taken: ") + error.what()});
+    context.actions.emplace_back(
+        LogMessage{std::string("new settings rejected, previous settings stay in use: ") + error.what()});
     return;
   }
-  const std::size_t none = context.settings.classes.size();
+  const std::size_t no_source = context.settings.classes.size();
   context.settings = *event.settings;
   std::vector<std::size_t> sources;
   for (std::size_t i = 0; i < context.settings.classes.size(); ++i) {
-    sources.push_back(i < event.learns_from.size() ? event.learns_from[i] : none);
+    sources.push_back(i < event.estimate_sources.size() ? event.estimate_sources[i] : no_source);
   }
   ResetClasses(sources);
-  quota.AddTenants();
+  quota.ResizeForTenants();
   index.Configure(true);
   index.AssignPartition();
-  lifecycle.ReorderDeadlines();
+  lifecycle.RebuildDeadlines();
 }
 
 void Scheduler::State::Handle(const ShutdownScheduled& event) {
-  context.shutdown_at = event.by;
-  lifecycle.ReorderDeadlines();
+  context.shutdown_at = event.deadline;
+  lifecycle.RebuildDeadlines();
 }
 
-// One timer serves all components: the first moment at which one has something to do without an event.
+// Sets one timer for all components, for the earliest time at which one of them is due.
 void Scheduler::State::SetNextTimer() {
   Time next = pending.HasDeadlines() ? pending.FirstDeadline().first : kNever;
   next =
@@ -123,12 +124,12 @@
 }
 
 Scheduler::Scheduler(Settings settings, std::uint64_t seed) : state_(std::make_unique<State>()) {
-  CheckSettings(settings);
+  ValidateSettings(settings);
   const std::size_t classes = settings.classes.size();
   state_->context.settings = std::move(settings);
   state_->context.random.seed(seed);
   state_->ResetClasses(std::vector<std::size_t>(classes, classes));
-  state_->quota.AddTenants();
+  state_->quota.ResizeForTenants();
 }
 
 Scheduler::~Scheduler() = default;
@@ -139,12 +140,12 @@
   State& state = *state_;
   state.context.actions.clear();
   state.context.now = now;
-  state.Begin();
+  state.StartOnce();
   std::visit([&state](const auto& each) { state.Handle(each); }, event);
-  state.lifecycle.AnswerDue();
+  state.lifecycle.AnswerDueRequests();
   state.watch.SubscribeIfDue();
-  state.health_checks.CheckEjected();
-  state.health_checks.CheckNext();
+  state.health_checks.CheckEjectedNodes();
+  state.health_checks.CheckNextNode();
   state.lifecycle.RetryPending();
   state.SetNextTimer();
   return state.context.actions;
--- a/src/scheduling/service_placements.cpp
+++ b/src/scheduling/service_placements.cpp
@@ -7,18 +7,18 @@
 
 namespace scheduling::internal {
 
-ServicePlacement& ServicePlacements::At(std::uint64_t service, NodeId node) {
-  std::vector<ServicePlacement>& all = services_[service];
-  const auto it = std::ranges::find(all, node, &ServicePlacement::node);
-  return it != all.end() ? *it : all.emplace_back(ServicePlacement{node, 0, 0});
+ServicePlacement& ServicePlacements::FindOrInsert(std::uint64_t service, NodeId node) {
+  std::vector<ServicePlacement>& placements = services_[service];
+  const auto it = std::ranges::find(placements, node, &ServicePlacement::node);
+  return it != placements.end() ? *it : placements.emplace_back(ServicePlacement{node, 0, 0});
 }
 
-bool ServicePlacements::KeepsProgram(const ServicePlacement& placement) const {
+bool ServicePlacements::RetainsProgram(const ServicePlacement& placement) const {
   if (placement.in_flight > 0) return true;
-  return placement.ended_at > 0 && context_.now - placement.ended_at < kProgramKeptFor;
+  return placement.ended_at > 0 && context_.now - placement.ended_at < kProgramRetention;
 }
 
-void ServicePlacements::Select(const Task& task) {
+void ServicePlacements::SelectService(const Task& task) {
   selected_.clear();
   ++selection_;
   const auto it = services_.find(task.service);
@@ -27,14 +27,14 @@
     Node* node = view_.Find(placement.node);
     selected_.push_back({&node->entry, placement.in_flight});
     node->selection = selection_;
-    node->has_program = KeepsProgram(placement);
+    node->has_program = RetainsProgram(placement);
   }
 }
 
 void ServicePlacements::Expire() {
   for (auto it = services_.begin(); it != services_.end();) {
     std::erase_if(it.value(), [this](const ServicePlacement& placement) {
-      return !KeepsProgram(placement) || view_.Find(placement.node) == nullptr;
+      return !RetainsProgram(placement) || view_.Find(placement.node) == nullptr;
     });
     it = it->second.empty() ? services_.erase(it) : std::next(it);
   }
--- a/src/scheduling/slow_start_limiter.cpp
+++ b/src/scheduling/slow_start_limiter.cpp
@@ -20,11 +20,11 @@
   return settings.slow_start_initial_speed + (1 - settings.slow_start_initial_speed) * age;
 }
 
-bool SlowStartLimiter::HasExtraSend(const Node& node, std::int64_t spare, Time window) const {
+bool SlowStartLimiter::HasExtraSend(const Node& node, std::int64_t remainder, Time window) const {
   const std::int64_t count = context_.settings.scheduler_count;
-  const std::int64_t turn = context_.now * kTurnsPerWindow / window;
-  const std::int64_t first = turn * spare / (kTurnsPerWindow + 1);
-  const std::int64_t next = (turn + 1) * spare / (kTurnsPerWindow + 1);
+  const std::int64_t slot = context_.now * kSlotsPerWindow / window;
+  const std::int64_t first = slot * remainder / (kSlotsPerWindow + 1);
+  const std::int64_t next = (slot + 1) * remainder / (kSlotsPerWindow + 1);
   const std::int64_t position =
       (context_.settings.scheduler_index + count - (first + node.entry.node) % count) % count;
   return position < next - first;
@@ -38,10 +38,10 @@
   const Time window = Window();
   if (node->entry.started_at <= context_.started_at && now - context_.started_at < window) return false;
   std::erase_if(node->recent_sends, [&](Time sent) { return sent + window <= now; });
-  const std::int64_t budget = static_cast<std::int64_t>(settings.slow_start_sends);
-  const std::int64_t share = budget / settings.scheduler_count;
-  const std::int64_t spare = budget % settings.scheduler_count;
-  return std::ssize(node->recent_sends) < share + (HasExtraSend(*node, spare, window) ? 1 : 0);
+  const std::int64_t limit = static_cast<std::int64_t>(settings.slow_start_sends);
+  const std::int64_t share = limit / settings.scheduler_count;
+  const std::int64_t remainder = limit % settings.scheduler_count;
+  return std::ssize(node->recent_sends) < share + (HasExtraSend(*node, remainder, window) ? 1 : 0);
 }
 
 }  // namespace scheduling::internal
--- a/src/scheduling/spread_constraint.cpp
+++ b/src/scheduling/spread_constraint.cpp
@@ -3,13 +3,13 @@
 namespace scheduling::internal {
 
 bool InSameDomain(FailureDomain domain, const NodeEntry& first, const NodeEntry& second) {
-  if (first.node == second.node || domain == FailureDomain::kFleet) return true;
+  if (first.node == second.node || domain == FailureDomain::kCluster) return true;
   if (domain == FailureDomain::kZone) return first.zone == second.zone;
   return domain == FailureDomain::kRack && first.rack == second.rack;
 }
 
 bool SpreadConstraint::Allows(const Node& node, const Task& task) const {
-  const ClassSettings& settings = context_.ClassOf(task);
+  const ClassSettings& settings = context_.ClassSettingsFor(task);
   if (settings.spread_domain == FailureDomain::kNone) return true;
   int count = 0;
   for (const SelectedNode& other : services_.selected()) {
--- a/src/scheduling/spread_constraint.h
+++ b/src/scheduling/spread_constraint.h
@@ -1,5 +1,5 @@
-// Anti-affinity: how many tasks of a service may run in one failure domain. Called by NodeFilter for the
-// service at hand of ServicePlacements.
+// Anti-affinity: limits how many tasks of a service may run in one failure domain. Called by NodeFilter for
+// the service selected in ServicePlacements.
 #pragma once
 
 #include "scheduling/context.h"
@@ -8,7 +8,7 @@
 
 namespace scheduling::internal {
 
-// Whether both nodes are in one domain of this size.
+// Whether both nodes are in the same failure domain of this kind.
 bool InSameDomain(FailureDomain domain, const NodeEntry& first, const NodeEntry& second);
 
 class SpreadConstraint {
@@ -16,7 +16,7 @@
   SpreadConstraint(const Context& context, const ServicePlacements& services)
       : context_(context), services_(services) {}
 
-  // Whether one more own task of the service keeps the node's domain within the limit of its class.
+  // Whether the node's domain stays within the class's limit with one more own task of the service.
   bool Allows(const Node& node, const Task& task) const;
 
  private:
--- a/src/scheduling/tenant_quota.cpp
+++ b/src/scheduling/tenant_quota.cpp
@@ -5,9 +5,11 @@
 
 namespace scheduling::internal {
 
-void TenantQuota::AddTenants() { cores_.resize(std::max(cores_.size(), context_.settings.tenants.size())); }
+void TenantQuota::ResizeForTenants() {
+  cores_.resize(std::max(cores_.size(), context_.settings.tenants.size()));
+}
 
-void TenantQuota::Record(const Task& task, double sign) {
+void TenantQuota::RecordRunningTask(const Task& task, double sign) {
   const std::size_t tenant = task.tenant;
   if (tenant < cores_.size()) cores_[tenant] += sign * task.cores;
 }
--- a/src/scheduling/tenant_quota.h
+++ b/src/scheduling/tenant_quota.h
@@ -1,5 +1,5 @@
-// Cores requested by the own running tasks of each tenant, and whether a tenant is over its quota. Each
-// scheduler holds an equal part of a quota. Called by RequestLifecycle.
+// Counts the cores requested by the own running tasks of each tenant, and decides whether a tenant is over
+// its quota. Each scheduler has an equal share of a quota. Called by RequestLifecycle.
 #pragma once
 
 #include <vector>
@@ -12,10 +12,10 @@
  public:
   explicit TenantQuota(const Context& context) : context_(context) {}
 
-  // After a change of the settings: tenants keep their positions.
-  void AddTenants();
-  // `sign`: 1 where the task starts to run, -1 where it ends.
-  void Record(const Task& task, double sign);
+  // To be called after a change of the settings. Tenants must keep their indexes.
+  void ResizeForTenants();
+  // Counts a task that starts running (`sign` 1) or ends (-1).
+  void RecordRunningTask(const Task& task, double sign);
   bool IsOver(const Task& task) const;
 
  private:
--- a/src/scheduling/view_lag.h
+++ b/src/scheduling/view_lag.h
@@ -1,5 +1,6 @@
-// How far the endpoint list lags behind, learned among kSteps lags of kStep: each change of a node's free
-// cores is compared with the own changes that each lag would have shown, and errors decay. Owned by
+// Estimates how far the endpoint list lags behind the state of the nodes. The candidates are kSteps multiples
+// of kStep: each change of a node's free cores in the list is compared with the change that each candidate
+// lag predicts from the own changes, and the candidate with the least decayed error is used. Owned by
 // ClusterView.
 #pragma once
 
@@ -16,12 +17,13 @@
   static constexpr Time kMax = kSteps * kStep;
 
   Time value() const { return value_; }  // nanoseconds
-  // The list shows `change` more free cores on the node than before.
-  void Learn(const Node& node, double change, Time now);
+  // Updates the estimate with a list entry that shows `change` more free cores on the node than the one
+  // before.
+  void Update(const Node& node, double change, Time now);
 
  private:
   static constexpr int kInitialSteps = 4;
-  static constexpr double kDecay = 0.99;
+  static constexpr double kDecay = 0.99;  // factor on earlier errors per update
 
   Time value_ = kInitialSteps * kStep;
   std::array<double, kSteps> errors_{};
--- a/tests/class_table_test.cpp
+++ b/tests/class_table_test.cpp
@@ -35,13 +35,13 @@
 
 TEST_CASE("the same classes, in whatever order, keep their positions") {
   ClassTable table(Of({Class("a"), Class("b"), Class("c")}));
-  CHECK(table.Position("b") == 1);
-  CHECK(table.Position("B") == -1);
-  const auto change = table.Apply(Of({Class("c"), Class("a"), Class("b")}, 5));
-  CHECK(change.learns_from == Ints{0, 1, 2});
+  CHECK(table.FindPosition("b") == 1);
+  CHECK(table.FindPosition("B") == -1);
+  const auto change = table.ApplySettings(Of({Class("c"), Class("a"), Class("b")}, 5));
+  CHECK(change.estimate_sources == Ints{0, 1, 2});
   CHECK(change.added + change.dropped + change.changed == 0);
-  CHECK(table.Position("a") == 0);
-  CHECK(table.Position("c") == 2);
+  CHECK(table.FindPosition("a") == 0);
+  CHECK(table.FindPosition("c") == 2);
   CHECK(change.settings.classes[2] == Class("c"));
   CHECK(change.settings.max_attempts == 5);
   CHECK(table.settings().max_attempts == 5);
@@ -49,124 +49,124 @@
 
 TEST_CASE("a changed class moves where a task uses it and learns from where it was, the task keeps its own") {
   ClassTable table(Of({Class("a"), Class("b")}));
-  table.Use(0);
-  const auto change = table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
+  table.AddTask(0);
+  const auto change = table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
   CHECK(change.changed == 1);
-  CHECK(change.learns_from == Ints{0, 1, 0});
-  CHECK(table.Position("a") == 2);
-  CHECK(table.NameOf(0) == "a");
-  CHECK_FALSE(table.in_force(0));
-  CHECK(table.in_force(2));
+  CHECK(change.estimate_sources == Ints{0, 1, 0});
+  CHECK(table.FindPosition("a") == 2);
+  CHECK(table.ClassName(0) == "a");
+  CHECK_FALSE(table.is_active(0));
+  CHECK(table.is_active(2));
   CHECK(change.settings.classes[0].retry_safety == RetrySafety::kIdempotent);
   CHECK(change.settings.classes[2].retry_safety == RetrySafety::kNotIdempotent);
-  table.Done(0);
-  CHECK(table.in_use(0) == 0);
+  table.RemoveTask(0);
+  CHECK(table.task_count(0) == 0);
   // The place that it left is the next to be used again.
-  const auto next = table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b"), Class("new")}));
-  CHECK(next.learns_from == Ints{-1, 1, 2});
+  const auto next = table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b"), Class("new")}));
+  CHECK(next.estimate_sources == Ints{-1, 1, 2});
   CHECK(next.added == 1);
-  CHECK(table.Position("new") == 0);
+  CHECK(table.FindPosition("new") == 0);
   CHECK(table.size() == 3);
 }
 
 TEST_CASE("a changed class that nothing uses stays where it is") {
   ClassTable table(Of({Class("a"), Class("b")}));
   const auto change =
-      table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b", RetrySafety::kIdempotencyKey)}));
+      table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b", RetrySafety::kIdempotencyKey)}));
   CHECK(change.changed == 2);
-  CHECK(change.learns_from == Ints{0, 1});
-  CHECK(table.Position("b") == 1);
+  CHECK(change.estimate_sources == Ints{0, 1});
+  CHECK(table.FindPosition("b") == 1);
   CHECK(table.settings().classes[1].retry_safety == RetrySafety::kIdempotencyKey);
 }
 
 TEST_CASE("what a class learns from is told as it stood, where its old place goes to another in one change") {
   ClassTable table(Of({Class("a"), Class("b"), Class("c")}));
-  table.Use(0);
+  table.AddTask(0);
   const auto change =
-      table.Apply(Of({Class("a", RetrySafety::kIdempotencyKey), Class("c")}));  // b's place is free
-  CHECK(change.learns_from == Ints{0, 0, 2});
-  CHECK(table.Position("a") == 1);
+      table.ApplySettings(Of({Class("a", RetrySafety::kIdempotencyKey), Class("c")}));  // b's place is free
+  CHECK(change.estimate_sources == Ints{0, 0, 2});
+  CHECK(table.FindPosition("a") == 1);
   CHECK(change.dropped == 1);
-  CHECK(table.Position("b") == -1);
+  CHECK(table.FindPosition("b") == -1);
 }
 
 TEST_CASE("a class under another name is another class, whatever else it has") {
   ClassTable table(Of({Class("a"), Class("b")}));
-  table.Use(0);
-  const auto change = table.Apply(Of({Class("A"), Class("b")}));
+  table.AddTask(0);
+  const auto change = table.ApplySettings(Of({Class("A"), Class("b")}));
   CHECK(change.added == 1);
   CHECK(change.dropped == 1);
   CHECK(change.changed == 0);
-  CHECK(change.learns_from == Ints{0, 1, -1});
-  CHECK(table.Position("a") == -1);
-  CHECK(table.Position("A") == 2);
-  CHECK(table.NameOf(0) == "a");
+  CHECK(change.estimate_sources == Ints{0, 1, -1});
+  CHECK(table.FindPosition("a") == -1);
+  CHECK(table.FindPosition("A") == 2);
+  CHECK(table.ClassName(0) == "a");
 }
 
 TEST_CASE("a class that is dropped and comes back unchanged has its old place, used or not") {
   for (const bool used : {false, true}) {
     ClassTable table(Of({Class("a"), Class("b")}));
-    if (used) table.Use(0);
-    const auto dropped = table.Apply(Of({Class("b")}));
+    if (used) table.AddTask(0);
+    const auto dropped = table.ApplySettings(Of({Class("b")}));
     CHECK(dropped.dropped == 1);
-    CHECK(dropped.learns_from == Ints{0, 1});
+    CHECK(dropped.estimate_sources == Ints{0, 1});
     CHECK(dropped.settings.classes[0] == Class("a"));  // keeps what stood there
-    CHECK(table.Position("a") == -1);
-    const auto back = table.Apply(Of({Class("b"), Class("a")}));
+    CHECK(table.FindPosition("a") == -1);
+    const auto back = table.ApplySettings(Of({Class("b"), Class("a")}));
     CHECK(back.added == 1);
-    CHECK(back.learns_from == Ints{0, 1});
-    CHECK(table.Position("a") == 0);
-    CHECK(table.in_use(0) == (used ? 1U : 0U));
+    CHECK(back.estimate_sources == Ints{0, 1});
+    CHECK(table.FindPosition("a") == 0);
+    CHECK(table.task_count(0) == (used ? 1U : 0U));
     CHECK(table.size() == 2);
   }
 }
 
 TEST_CASE("a class that is dropped and comes back changed is a new one beside the tasks of the old") {
   ClassTable table(Of({Class("a"), Class("b")}));
-  table.Use(0);
-  table.Apply(Of({Class("b")}));
-  const auto back = table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
-  CHECK(back.learns_from == Ints{0, 1, -1});
-  CHECK(table.Position("a") == 2);
+  table.AddTask(0);
+  table.ApplySettings(Of({Class("b")}));
+  const auto back = table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
+  CHECK(back.estimate_sources == Ints{0, 1, -1});
+  CHECK(table.FindPosition("a") == 2);
   CHECK(back.settings.classes[0] == Class("a"));
-  table.Use(2);
+  table.AddTask(2);
   // Changed back while tasks of both are under way: the first place serves, as it stands.
-  const auto again = table.Apply(Of({Class("a"), Class("b")}));
+  const auto again = table.ApplySettings(Of({Class("a"), Class("b")}));
   CHECK(again.changed == 1);
-  CHECK(again.learns_from == Ints{0, 1, 2});
-  CHECK(table.Position("a") == 0);
-  CHECK_FALSE(table.in_force(2));
+  CHECK(again.estimate_sources == Ints{0, 1, 2});
+  CHECK(table.FindPosition("a") == 0);
+  CHECK_FALSE(table.is_active(2));
 }
 
 TEST_CASE("two classes that swap their settings, and one that takes a dropped one's settings") {
   ClassTable table(Of({Class("a", RetrySafety::kIdempotent, 1), Class("b", RetrySafety::kNotIdempotent, 2)}));
-  table.Use(0);
-  table.Use(1);
+  table.AddTask(0);
+  table.AddTask(1);
   const auto change =
-      table.Apply(Of({Class("b", RetrySafety::kIdempotent, 1), Class("a", RetrySafety::kNotIdempotent, 2)}));
+      table.ApplySettings(Of({Class("b", RetrySafety::kIdempotent, 1), Class("a", RetrySafety::kNotIdempotent, 2)}));
   CHECK(change.changed == 2);
-  CHECK(change.learns_from == Ints{0, 1, 1, 0});
-  CHECK(table.Position("b") == 2);
-  CHECK(table.Position("a") == 3);
+  CHECK(change.estimate_sources == Ints{0, 1, 1, 0});
+  CHECK(table.FindPosition("b") == 2);
+  CHECK(table.FindPosition("a") == 3);
 }
 
 TEST_CASE("of two classes with one name the first counts") {
   ClassTable table(Of({Class("a"), Class("a", RetrySafety::kNotIdempotent)}));
-  CHECK(table.Position("a") == 0);
-  CHECK_FALSE(table.in_force(1));
-  const auto change = table.Apply(Of({Class("a"), Class("a", RetrySafety::kIdempotencyKey), Class("c")}));
+  CHECK(table.FindPosition("a") == 0);
+  CHECK_FALSE(table.is_active(1));
+  const auto change = table.ApplySettings(Of({Class("a"), Class("a", RetrySafety::kIdempotencyKey), Class("c")}));
   CHECK(change.added == 1);
-  CHECK(table.Position("a") == 0);
-  CHECK(table.Position("c") == 1);
+  CHECK(table.FindPosition("a") == 0);
+  CHECK(table.FindPosition("c") == 1);
   CHECK(table.size() == 2);
 }
 
 TEST_CASE("a task that ends twice is counted once, and a position that is none is an error") {
   ClassTable table(Of({Class("a")}));
-  table.Done(0);
-  CHECK(table.in_use(0) == 0);
-  CHECK_THROWS_AS(table.Use(-1), std::out_of_range);
-  CHECK_THROWS_AS(table.Use(1), std::out_of_range);
+  table.RemoveTask(0);
+  CHECK(table.task_count(0) == 0);
+  CHECK_THROWS_AS(table.AddTask(-1), std::out_of_range);
+  CHECK_THROWS_AS(table.AddTask(1), std::out_of_range);
 }
 
 // Drawn reloads while tasks begin and end, against a model of the plainest kind.
@@ -187,26 +187,26 @@
       if (draw() % 2 > 0) classes.push_back(Class("d" + std::to_string(round)));
       std::shuffle(classes.begin(), classes.end(), draw);
       const Settings before = table.settings();
-      const auto change = table.Apply(Of(classes));
+      const auto change = table.ApplySettings(Of(classes));
       REQUIRE(change.settings.classes == table.settings().classes);
-      REQUIRE(change.learns_from.size() == table.size());
+      REQUIRE(change.estimate_sources.size() == table.size());
       std::size_t needed = 0;
       for (std::size_t i = 0; i < table.size(); ++i) {
         const int at = static_cast<int>(i);
-        needed += table.in_force(at) || table.in_use(at) > 0 ? 1 : 0;
-        const int from = change.learns_from[i];
+        needed += table.is_active(at) || table.task_count(at) > 0 ? 1 : 0;
+        const int from = change.estimate_sources[i];
         REQUIRE(from < static_cast<int>(before.classes.size()));
-        if (from >= 0) REQUIRE(before.classes[static_cast<std::size_t>(from)].name == table.NameOf(at));
+        if (from >= 0) REQUIRE(before.classes[static_cast<std::size_t>(from)].name == table.ClassName(at));
       }
       most = std::max(most, needed);
       REQUIRE(table.size() <= most);
       for (const ClassSettings& each : classes) {
-        const int position = table.Position(each.name);
+        const int position = table.FindPosition(each.name);
         REQUIRE(position >= 0);
-        REQUIRE(table.in_force(position));
+        REQUIRE(table.is_active(position));
         REQUIRE(table.settings().classes[static_cast<std::size_t>(position)] == each);
         if (draw() % 3 > 0) {
-          table.Use(position);
+          table.AddTask(position);
           open.push_back({position, each});
         }
       }
@@ -215,13 +215,13 @@
         REQUIRE(table.settings().classes[static_cast<std::size_t>(task.position)] == task.its);
       }
       while (open.size() > 8) {
-        table.Done(open.back().position);
+        table.RemoveTask(open.back().position);
         open.pop_back();
       }
     }
     CHECK(table.size() <= 4 + 4 + 8);
-    for (const Open& task : open) table.Done(task.position);
-    for (std::size_t i = 0; i < table.size(); ++i) CHECK(table.in_use(static_cast<int>(i)) == 0);
+    for (const Open& task : open) table.RemoveTask(task.position);
+    for (std::size_t i = 0; i < table.size(); ++i) CHECK(table.task_count(static_cast<int>(i)) == 0);
   }
 }
 
--- a/tests/logic_placement_test.cpp
+++ b/tests/logic_placement_test.cpp
@@ -25,7 +25,7 @@
     Scheduler(late, 1);
     FAIL() << "taken";
   } catch (const std::invalid_argument& error) {
-    EXPECT_STREQ(error.what(), "class 1 has no deadline");
+    EXPECT_STREQ(error.what(), "class 1: deadline must be positive");
   }
 }
 
