--- a/include/scheduling/scheduler.h
+++ b/include/scheduling/scheduler.h
@@ -18,13 +18,16 @@
 // within Scheduler::Handle.
 class ZonePolicy {
  public:
+  // Whether the zone is considered lost.
   virtual bool IsLost(int zone) const = 0;
   // Whether new tasks may be placed in the zone. `unsafe`: a second execution of the task would do harm.
   virtual bool AllowsPlacement(int zone, bool unsafe) const = 0;
+  // Records that an attempt for the task starts in the zone.
   virtual void RecordPlacement(int zone, const Task& task, Time now) = 0;
   // Counts a new request as demand and returns its rank, which is passed to Admits and RetryAfter.
   // `over_quota`: its tenant is over its quota.
   virtual int AssignRank(const Task& task, bool over_quota, bool large, Time now) = 0;
+  // Whether a new request of this rank is admitted now.
   virtual bool Admits(int rank, const Task& task) const = 0;
   // Whether to reject requests of the class whose task may have run in a lost zone and can be retried safely
   // only there.
--- a/src/scheduling/cluster_view.h
+++ b/src/scheduling/cluster_view.h
@@ -34,11 +34,13 @@
     });
   }
 
+  // The index of the node's kind in the settings; the last one for an unknown kind.
   std::size_t KindIndex(const Node& node) const {
     return std::min<std::size_t>(node.entry.kind, context_.settings.kind_cores.size() - 1);
   }
   double Cores(const Node& node) const { return context_.settings.kind_cores[KindIndex(node)]; }
   double Memory(const Node& node) const { return context_.settings.kind_memory[KindIndex(node)]; }
+  // Expected use on the node, as in UsageEstimator::Use.
   const Resources& Use(const Node& node) const { return usage_.Use(node); }
 
   // Recomputes what depends on the node's capacity, use or health. To be called after each change of these.
--- a/src/scheduling/context.h
+++ b/src/scheduling/context.h
@@ -23,6 +23,7 @@
   std::vector<Action> actions;  // of the current event
   std::mt19937_64 random;
 
+  // The index of the task's class; the last one for an index past the configured classes.
   std::size_t ClassIndex(const Task& task) const {
     return std::min<std::size_t>(task.class_index, settings.classes.size() - 1);
   }
--- a/src/scheduling/endpoint_list_updater.h
+++ b/src/scheduling/endpoint_list_updater.h
@@ -29,6 +29,7 @@
   EndpointListUpdater(const Context& context, const Components& components)
       : context_(context), components_(components) {}
 
+  // Applies the list to all components, or records its failure.
   void Handle(const EndpointListChanged& event);
 
  private:
--- a/src/scheduling/node_packing.h
+++ b/src/scheduling/node_packing.h
@@ -20,7 +20,9 @@
  public:
   NodePacking(const Context& context, const ClusterView& view) : context_(context), view_(view) {}
 
+  // Whether nodes in use have a price.
   bool IsEnabled() const { return context_.settings.node_price > 0; }
+  // Orders the healthy ones of `nodes`.
   PackingOrder ComputeOrder(const std::vector<Node*>& nodes) const;
 
  private:
--- a/src/scheduling/reserved_nodes.h
+++ b/src/scheduling/reserved_nodes.h
@@ -20,6 +20,7 @@
 
   // To be called after a change of the settings. `sources` as in UsageEstimator::ResetClasses.
   void ResetClasses(const std::vector<std::size_t>& sources);
+  // Whether the task requests more than kLargeTaskFactor times the mean cores or memory.
   bool IsLarge(const Task& task) const;
   // Updates the largest task of the class with an arrived or claimed task.
   void RecordTaskSize(const Task& task);
--- a/src/scheduling/slow_start_limiter.h
+++ b/src/scheduling/slow_start_limiter.h
@@ -17,6 +17,7 @@
 
   // The overload window with its margin, nanoseconds.
   Time Window() const;
+  // Whether the node started less than the slow-start duration ago.
   bool IsWarmingUp(const Node& node) const {
     return node.entry.started_at > 0 &&
            context_.now - node.entry.started_at < context_.settings.slow_start_duration;
--- a/src/scheduling/spread_constraint.h
+++ b/src/scheduling/spread_constraint.h
@@ -16,7 +16,8 @@
   SpreadConstraint(const Context& context, const ServicePlacements& services)
       : context_(context), services_(services) {}
 
-  // Whether the node's domain stays within the class's limit with one more own task of the service.
+  // Whether the node's domain stays within the class's limit with one more own task of the service. Tasks of
+  // other schedulers are not counted.
   bool Allows(const Node& node, const Task& task) const;
 
  private:
--- a/src/scheduling/tenant_quota.h
+++ b/src/scheduling/tenant_quota.h
@@ -16,6 +16,7 @@
   void ResizeForTenants();
   // Counts a task that starts running (`sign` 1) or ends (-1).
   void RecordRunningTask(const Task& task, double sign);
+  // Whether the task's tenant uses more than this scheduler's share of its quota.
   bool IsOver(const Task& task) const;
 
  private:
