--- a/tests/crossing_descriptors_test.cpp
+++ b/tests/crossing_descriptors_test.cpp
@@ -56,8 +56,8 @@
   }
   // Waits for the set-up at that node; another that gets it first refuses it, as a node without room does.
   // The program may try one that it has just had a task at: it takes the list to be late, and a list of that
-  // age shows the task's start and not its end (tests/logic_placement_test.cpp,
-  // AnEndThatTheListDoesNotShowYet...).
+  // age shows the task's start and not its end (tests/scheduling_placement_test.cpp,
+  // TaskEndThatIsNotListedYet...).
   Wire& AwaitSetUpAt(int i, TaskId task) {
     NodeRecord& wanted = nodes[static_cast<std::size_t>(i)];
     const Patience patience;
