--- a/tests/parts_test.cpp
+++ b/tests/basic_components_test.cpp
@@ -1,4 +1,5 @@
-// The small parts that everything stands on.
+// Tests of basic components: slot table, timer wheel, message codec, settings in the simulator's format, node
+// ids.
 #include <doctest/doctest.h>
 
 #include "config/config.h"
@@ -10,7 +11,7 @@
 namespace cluster_manager {
 namespace {
 
-TEST_CASE("a stale handle does not find the slot's next tenant") {
+TEST_CASE("a stale handle does not find the next value in its slot") {
   SlotTable<int> table;
   const Handle first = table.Insert(1);
   CHECK(table.Erase(first));
@@ -21,18 +22,18 @@
   CHECK(table.Get(0) == nullptr);
 }
 
-TEST_CASE("the wheel runs deadlines in order, once, and not those taken down") {
+TEST_CASE("the timer wheel runs each deadline once in order and does not run cancelled ones") {
   const Time start = 1'796'137'172 * kSecond;
   TimerWheel wheel(start);
   std::string ran;
-  wheel.Schedule(start + 40 * kSecond, [&] { ran += 'd'; });  // further off than a turn of the wheel
+  wheel.Schedule(start + 40 * kSecond, [&] { ran += 'd'; });  // beyond one rotation of the wheel
   wheel.Schedule(start + 5 * kMs, [&] { ran += 'b'; });
   wheel.Schedule(start + 2 * kMs, [&] {
     ran += 'a';
-    wheel.Schedule(start, [&] { ran += 'c'; });  // past already: in the next tick, not in this call's
+    wheel.Schedule(start, [&] { ran += 'c'; });  // already past: runs in the next tick, not in this call
   });
-  const Handle down = wheel.Schedule(start + 3 * kMs, [&] { ran += 'x'; });
-  wheel.Cancel(down);
+  const Handle cancelled = wheel.Schedule(start + 3 * kMs, [&] { ran += 'x'; });
+  wheel.Cancel(cancelled);
   CHECK(wheel.Next() <= start + 2 * kMs);
   wheel.Advance(start + 2 * kMs);
   CHECK(ran == "a");
@@ -40,20 +41,20 @@
   CHECK(ran == "acb");
   wheel.Advance(start + 39 * kSecond);
   CHECK(ran == "acb");
-  wheel.Advance(start + 90 * kSecond);  // a whole turn slept through
+  wheel.Advance(start + 90 * kSecond);  // more than one rotation without a call
   CHECK(ran == "acbd");
   CHECK(wheel.Next() == -1);
 }
 
-TEST_CASE("a message comes whole or not at all, however it is cut") {
+TEST_CASE("a truncated message is not decoded at any length") {
   std::string bytes;
   protocol::Writer(&bytes, protocol::Type::kRelease, 0xabcdef0123456789)
       .Add(protocol::Cause::kFull)
       .Add(protocol::Code::kNote, "busy");
   protocol::Message m;
   std::size_t size = 0;
-  for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    CHECK(protocol::Decode(std::string_view(bytes).substr(0, cut), &m, &size) == protocol::Step::kMore);
+  for (std::size_t length = 0; length < bytes.size(); ++length) {
+    CHECK(protocol::Decode(std::string_view(bytes).substr(0, length), &m, &size) == protocol::Step::kMore);
   }
   REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::Step::kMessage);
   CHECK(size == bytes.size());
@@ -63,13 +64,13 @@
   CHECK_FALSE(m.Has(protocol::Code::kReport));
 }
 
-TEST_CASE("the settings are flattened as the simulator's wire writes them") {
+TEST_CASE("settings are flattened to the format of the simulator protocol") {
   const nlohmann::json settings = {
       {"A", {{"B", true}, {"C", {1, 2.5}}}}, {"S", {{{"N", "x y"}}, {{"N", "z"}}}}, {"T", 6000000000}};
   CHECK(Flatten(settings) == "\tA.B=true\tA.C=1,2.5\tS.count=2\tS.0.N=x_y\tS.1.N=z\tT=6000000000");
 }
 
-TEST_CASE("a node's number comes from its uid, alike everywhere") {
+TEST_CASE("a node id is derived from the uid and is the same in every process") {
   CHECK(NodeIdFromUid("s-00c41f7a") == 0x00c41f7a);
   CHECK(NodeIdFromUid("s-ffffffff") == 0xffffffff);
   CHECK(NodeIdFromUid("rack nine") == NodeIdFromUid("rack nine"));
--- a/tests/class_table_test.cpp
+++ b/tests/class_table_test.cpp
@@ -1,4 +1,5 @@
-// Positions of classes over changes of the settings, with and without tasks under way.
+// Tests that ClassTable keeps the positions of classes across changes of the settings, with and without tasks
+// that use the classes.
 #include "request_classes/class_table.h"
 
 #include <doctest/doctest.h>
@@ -15,44 +16,45 @@
 using scheduling::RetrySafety;
 using scheduling::Settings;
 
-ClassSettings Class(const std::string& name, RetrySafety effect = RetrySafety::kIdempotent,
-                    scheduling::Time deadline = 1000) {
-  ClassSettings each;
-  each.name = name;
-  each.retry_safety = effect;
-  each.deadline = deadline;
-  return each;
+ClassSettings MakeClass(const std::string& name, RetrySafety retry_safety = RetrySafety::kIdempotent,
+                        scheduling::Time deadline = 1000) {
+  ClassSettings settings;
+  settings.name = name;
+  settings.retry_safety = retry_safety;
+  settings.deadline = deadline;
+  return settings;
 }
 
-Settings Of(std::vector<ClassSettings> classes, int tries = 1) {
+Settings MakeSettings(std::vector<ClassSettings> classes, int max_attempts = 1) {
   Settings settings;
   settings.classes = std::move(classes);
-  settings.max_attempts = tries;
+  settings.max_attempts = max_attempts;
   return settings;
 }
 
-using Ints = std::vector<int>;
+using Positions = std::vector<int>;
 
-TEST_CASE("the same classes, in whatever order, keep their positions") {
-  ClassTable table(Of({Class("a"), Class("b"), Class("c")}));
+TEST_CASE("unchanged classes keep their positions in any order") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b"), MakeClass("c")}));
   CHECK(table.FindPosition("b") == 1);
   CHECK(table.FindPosition("B") == -1);
-  const auto change = table.ApplySettings(Of({Class("c"), Class("a"), Class("b")}, 5));
-  CHECK(change.estimate_sources == Ints{0, 1, 2});
+  const auto change = table.ApplySettings(MakeSettings({MakeClass("c"), MakeClass("a"), MakeClass("b")}, 5));
+  CHECK(change.estimate_sources == Positions{0, 1, 2});
   CHECK(change.added + change.dropped + change.changed == 0);
   CHECK(table.FindPosition("a") == 0);
   CHECK(table.FindPosition("c") == 2);
-  CHECK(change.settings.classes[2] == Class("c"));
+  CHECK(change.settings.classes[2] == MakeClass("c"));
   CHECK(change.settings.max_attempts == 5);
   CHECK(table.settings().max_attempts == 5);
 }
 
-TEST_CASE("a changed class moves where a task uses it and learns from where it was, the task keeps its own") {
-  ClassTable table(Of({Class("a"), Class("b")}));
+TEST_CASE("a changed class with a task moves and takes over the estimates and the task keeps its settings") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b")}));
   table.AddTask(0);
-  const auto change = table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
+  const auto change =
+      table.ApplySettings(MakeSettings({MakeClass("a", RetrySafety::kNotIdempotent), MakeClass("b")}));
   CHECK(change.changed == 1);
-  CHECK(change.estimate_sources == Ints{0, 1, 0});
+  CHECK(change.estimate_sources == Positions{0, 1, 0});
   CHECK(table.FindPosition("a") == 2);
   CHECK(table.ClassName(0) == "a");
   CHECK_FALSE(table.is_active(0));
@@ -61,166 +63,171 @@
   CHECK(change.settings.classes[2].retry_safety == RetrySafety::kNotIdempotent);
   table.RemoveTask(0);
   CHECK(table.task_count(0) == 0);
-  // The place that it left is the next to be used again.
-  const auto next = table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b"), Class("new")}));
-  CHECK(next.estimate_sources == Ints{-1, 1, 2});
+  // The position that it left is reused first.
+  const auto next = table.ApplySettings(
+      MakeSettings({MakeClass("a", RetrySafety::kNotIdempotent), MakeClass("b"), MakeClass("new")}));
+  CHECK(next.estimate_sources == Positions{-1, 1, 2});
   CHECK(next.added == 1);
   CHECK(table.FindPosition("new") == 0);
   CHECK(table.size() == 3);
 }
 
-TEST_CASE("a changed class that nothing uses stays where it is") {
-  ClassTable table(Of({Class("a"), Class("b")}));
-  const auto change =
-      table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b", RetrySafety::kIdempotencyKey)}));
+TEST_CASE("a changed class without tasks keeps its position") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b")}));
+  const auto change = table.ApplySettings(MakeSettings(
+      {MakeClass("a", RetrySafety::kNotIdempotent), MakeClass("b", RetrySafety::kIdempotencyKey)}));
   CHECK(change.changed == 2);
-  CHECK(change.estimate_sources == Ints{0, 1});
+  CHECK(change.estimate_sources == Positions{0, 1});
   CHECK(table.FindPosition("b") == 1);
   CHECK(table.settings().classes[1].retry_safety == RetrySafety::kIdempotencyKey);
 }
 
-TEST_CASE("what a class learns from is told as it stood, where its old place goes to another in one change") {
-  ClassTable table(Of({Class("a"), Class("b"), Class("c")}));
+TEST_CASE("estimate sources are positions before the change even if another class takes the position") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b"), MakeClass("c")}));
   table.AddTask(0);
-  const auto change =
-      table.ApplySettings(Of({Class("a", RetrySafety::kIdempotencyKey), Class("c")}));  // b's place is free
-  CHECK(change.estimate_sources == Ints{0, 0, 2});
+  const auto change = table.ApplySettings(
+      MakeSettings({MakeClass("a", RetrySafety::kIdempotencyKey), MakeClass("c")}));  // b's position is free
+  CHECK(change.estimate_sources == Positions{0, 0, 2});
   CHECK(table.FindPosition("a") == 1);
   CHECK(change.dropped == 1);
   CHECK(table.FindPosition("b") == -1);
 }
 
-TEST_CASE("a class under another name is another class, whatever else it has") {
-  ClassTable table(Of({Class("a"), Class("b")}));
+TEST_CASE("a class with another name is another class even if its settings are the same") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b")}));
   table.AddTask(0);
-  const auto change = table.ApplySettings(Of({Class("A"), Class("b")}));
+  const auto change = table.ApplySettings(MakeSettings({MakeClass("A"), MakeClass("b")}));
   CHECK(change.added == 1);
   CHECK(change.dropped == 1);
   CHECK(change.changed == 0);
-  CHECK(change.estimate_sources == Ints{0, 1, -1});
+  CHECK(change.estimate_sources == Positions{0, 1, -1});
   CHECK(table.FindPosition("a") == -1);
   CHECK(table.FindPosition("A") == 2);
   CHECK(table.ClassName(0) == "a");
 }
 
-TEST_CASE("a class that is dropped and comes back unchanged has its old place, used or not") {
+TEST_CASE("a class that is dropped and returns unchanged has its previous position with or without tasks") {
   for (const bool used : {false, true}) {
-    ClassTable table(Of({Class("a"), Class("b")}));
+    ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b")}));
     if (used) table.AddTask(0);
-    const auto dropped = table.ApplySettings(Of({Class("b")}));
+    const auto dropped = table.ApplySettings(MakeSettings({MakeClass("b")}));
     CHECK(dropped.dropped == 1);
-    CHECK(dropped.estimate_sources == Ints{0, 1});
-    CHECK(dropped.settings.classes[0] == Class("a"));  // keeps what stood there
+    CHECK(dropped.estimate_sources == Positions{0, 1});
+    CHECK(dropped.settings.classes[0] == MakeClass("a"));  // the settings stay in place
     CHECK(table.FindPosition("a") == -1);
-    const auto back = table.ApplySettings(Of({Class("b"), Class("a")}));
+    const auto back = table.ApplySettings(MakeSettings({MakeClass("b"), MakeClass("a")}));
     CHECK(back.added == 1);
-    CHECK(back.estimate_sources == Ints{0, 1});
+    CHECK(back.estimate_sources == Positions{0, 1});
     CHECK(table.FindPosition("a") == 0);
     CHECK(table.task_count(0) == (used ? 1U : 0U));
     CHECK(table.size() == 2);
   }
 }
 
-TEST_CASE("a class that is dropped and comes back changed is a new one beside the tasks of the old") {
-  ClassTable table(Of({Class("a"), Class("b")}));
+TEST_CASE("a class that is dropped and returns changed is a new class beside the tasks of the previous one") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b")}));
   table.AddTask(0);
-  table.ApplySettings(Of({Class("b")}));
-  const auto back = table.ApplySettings(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
-  CHECK(back.estimate_sources == Ints{0, 1, -1});
+  table.ApplySettings(MakeSettings({MakeClass("b")}));
+  const auto back =
+      table.ApplySettings(MakeSettings({MakeClass("a", RetrySafety::kNotIdempotent), MakeClass("b")}));
+  CHECK(back.estimate_sources == Positions{0, 1, -1});
   CHECK(table.FindPosition("a") == 2);
-  CHECK(back.settings.classes[0] == Class("a"));
+  CHECK(back.settings.classes[0] == MakeClass("a"));
   table.AddTask(2);
-  // Changed back while tasks of both are under way: the first place serves, as it stands.
-  const auto again = table.ApplySettings(Of({Class("a"), Class("b")}));
+  // Changed back while there are tasks of both: the class gets its first position again.
+  const auto again = table.ApplySettings(MakeSettings({MakeClass("a"), MakeClass("b")}));
   CHECK(again.changed == 1);
-  CHECK(again.estimate_sources == Ints{0, 1, 2});
+  CHECK(again.estimate_sources == Positions{0, 1, 2});
   CHECK(table.FindPosition("a") == 0);
   CHECK_FALSE(table.is_active(2));
 }
 
-TEST_CASE("two classes that swap their settings, and one that takes a dropped one's settings") {
-  ClassTable table(Of({Class("a", RetrySafety::kIdempotent, 1), Class("b", RetrySafety::kNotIdempotent, 2)}));
+TEST_CASE("two classes with tasks that swap their settings move and keep their estimates") {
+  ClassTable table(MakeSettings(
+      {MakeClass("a", RetrySafety::kIdempotent, 1), MakeClass("b", RetrySafety::kNotIdempotent, 2)}));
   table.AddTask(0);
   table.AddTask(1);
-  const auto change =
-      table.ApplySettings(Of({Class("b", RetrySafety::kIdempotent, 1), Class("a", RetrySafety::kNotIdempotent, 2)}));
+  const auto change = table.ApplySettings(MakeSettings(
+      {MakeClass("b", RetrySafety::kIdempotent, 1), MakeClass("a", RetrySafety::kNotIdempotent, 2)}));
   CHECK(change.changed == 2);
-  CHECK(change.estimate_sources == Ints{0, 1, 1, 0});
+  CHECK(change.estimate_sources == Positions{0, 1, 1, 0});
   CHECK(table.FindPosition("b") == 2);
   CHECK(table.FindPosition("a") == 3);
 }
 
-TEST_CASE("of two classes with one name the first counts") {
-  ClassTable table(Of({Class("a"), Class("a", RetrySafety::kNotIdempotent)}));
+TEST_CASE("of two classes with the same name the first is used") {
+  ClassTable table(MakeSettings({MakeClass("a"), MakeClass("a", RetrySafety::kNotIdempotent)}));
   CHECK(table.FindPosition("a") == 0);
   CHECK_FALSE(table.is_active(1));
-  const auto change = table.ApplySettings(Of({Class("a"), Class("a", RetrySafety::kIdempotencyKey), Class("c")}));
+  const auto change = table.ApplySettings(
+      MakeSettings({MakeClass("a"), MakeClass("a", RetrySafety::kIdempotencyKey), MakeClass("c")}));
   CHECK(change.added == 1);
   CHECK(table.FindPosition("a") == 0);
   CHECK(table.FindPosition("c") == 1);
   CHECK(table.size() == 2);
 }
 
-TEST_CASE("a task that ends twice is counted once, and a position that is none is an error") {
-  ClassTable table(Of({Class("a")}));
+TEST_CASE("a task that ends twice is counted once and an invalid position throws") {
+  ClassTable table(MakeSettings({MakeClass("a")}));
   table.RemoveTask(0);
   CHECK(table.task_count(0) == 0);
   CHECK_THROWS_AS(table.AddTask(-1), std::out_of_range);
   CHECK_THROWS_AS(table.AddTask(1), std::out_of_range);
 }
 
-// Drawn reloads while tasks begin and end, against a model of the plainest kind.
-TEST_CASE("1,000 reloads that alternate: no more positions than classes in force and classes still used") {
+// Random reloads while tasks begin and end, compared with a simple model.
+TEST_CASE("1000 random reloads need no more positions than there are active classes and classes with tasks") {
   for (const unsigned seed : {1U, 2U, 3U}) {
-    std::mt19937 draw(seed);
-    ClassTable table(Of({Class("a"), Class("b"), Class("c")}));
-    struct Open {
+    std::mt19937 random(seed);
+    ClassTable table(MakeSettings({MakeClass("a"), MakeClass("b"), MakeClass("c")}));
+    struct OpenTask {
       int position;
-      ClassSettings its;
+      ClassSettings settings;
     };
-    std::vector<Open> open;
-    std::size_t most = table.size();
+    std::vector<OpenTask> open_tasks;
+    std::size_t max_needed = table.size();
     for (int round = 0; round < 1000; ++round) {
-      std::vector<ClassSettings> classes = {Class("b")};
-      if (draw() % 2 > 0) classes.push_back(Class("a", static_cast<RetrySafety>(draw() % 3)));
-      if (draw() % 2 > 0) classes.push_back(Class("c", RetrySafety::kIdempotent, 1 + draw() % 50));
-      if (draw() % 2 > 0) classes.push_back(Class("d" + std::to_string(round)));
-      std::shuffle(classes.begin(), classes.end(), draw);
+      std::vector<ClassSettings> classes = {MakeClass("b")};
+      if (random() % 2 > 0) classes.push_back(MakeClass("a", static_cast<RetrySafety>(random() % 3)));
+      if (random() % 2 > 0) classes.push_back(MakeClass("c", RetrySafety::kIdempotent, 1 + random() % 50));
+      if (random() % 2 > 0) classes.push_back(MakeClass("d" + std::to_string(round)));
+      std::shuffle(classes.begin(), classes.end(), random);
       const Settings before = table.settings();
-      const auto change = table.ApplySettings(Of(classes));
+      const auto change = table.ApplySettings(MakeSettings(classes));
       REQUIRE(change.settings.classes == table.settings().classes);
       REQUIRE(change.estimate_sources.size() == table.size());
       std::size_t needed = 0;
       for (std::size_t i = 0; i < table.size(); ++i) {
-        const int at = static_cast<int>(i);
-        needed += table.is_active(at) || table.task_count(at) > 0 ? 1 : 0;
-        const int from = change.estimate_sources[i];
-        REQUIRE(from < static_cast<int>(before.classes.size()));
-        if (from >= 0) REQUIRE(before.classes[static_cast<std::size_t>(from)].name == table.ClassName(at));
+        const int position = static_cast<int>(i);
+        needed += table.is_active(position) || table.task_count(position) > 0 ? 1 : 0;
+        const int source = change.estimate_sources[i];
+        REQUIRE(source < static_cast<int>(before.classes.size()));
+        if (source >= 0)
+          REQUIRE(before.classes[static_cast<std::size_t>(source)].name == table.ClassName(position));
       }
-      most = std::max(most, needed);
-      REQUIRE(table.size() <= most);
+      max_needed = std::max(max_needed, needed);
+      REQUIRE(table.size() <= max_needed);
       for (const ClassSettings& each : classes) {
         const int position = table.FindPosition(each.name);
         REQUIRE(position >= 0);
         REQUIRE(table.is_active(position));
         REQUIRE(table.settings().classes[static_cast<std::size_t>(position)] == each);
-        if (draw() % 3 > 0) {
+        if (random() % 3 > 0) {
           table.AddTask(position);
-          open.push_back({position, each});
+          open_tasks.push_back({position, each});
         }
       }
-      std::shuffle(open.begin(), open.end(), draw);
-      for (const Open& task : open) {
-        REQUIRE(table.settings().classes[static_cast<std::size_t>(task.position)] == task.its);
+      std::shuffle(open_tasks.begin(), open_tasks.end(), random);
+      for (const OpenTask& task : open_tasks) {
+        REQUIRE(table.settings().classes[static_cast<std::size_t>(task.position)] == task.settings);
       }
-      while (open.size() > 8) {
-        table.RemoveTask(open.back().position);
-        open.pop_back();
+      while (open_tasks.size() > 8) {
+        table.RemoveTask(open_tasks.back().position);
+        open_tasks.pop_back();
       }
     }
     CHECK(table.size() <= 4 + 4 + 8);
-    for (const Open& task : open) table.RemoveTask(task.position);
+    for (const OpenTask& task : open_tasks) table.RemoveTask(task.position);
     for (std::size_t i = 0; i < table.size(); ++i) CHECK(table.task_count(static_cast<int>(i)) == 0);
   }
 }
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,5 +1,5 @@
-// Recorded streams of events, replayed: what the module decided when they were recorded it decides today.
-// bench/record_stream made them (seed 1), anew with each change of decisions that is meant.
+// Replays recorded streams of events: the scheduler must make the same decisions as when they were recorded.
+// bench/record_stream recorded them (seed 1); they are recorded again with each intended change of decisions.
 #include <doctest/doctest.h>
 
 #include <fstream>
@@ -15,35 +15,35 @@
 
 using Lines = std::vector<std::string>;
 
-// Timers are left out: how often the module asks to be woken is no decision. That it is woken in time shows
-// in what it does, since the recorded reminders are replayed as they came.
-bool Compared(const std::string& line) { return !line.starts_with("after\t"); }
+// SetTimer actions are not compared, since the number of timers is not a decision. A timer that is set too
+// late shows in the other actions, since the recorded timer events are replayed at their recorded times.
+bool IsCompared(const std::string& line) { return !line.starts_with("after\t"); }
 
-struct Tally {
-  int batches = 0, actions = 0, offers = 0, refusals = 0, differing = 0;
-  std::string first;
+struct ReplayResult {
+  int batches = 0, actions = 0, attempts = 0, rejections = 0, differing = 0;
+  std::string first_difference;
 };
 
-Tally Replay(const std::string& name) {
+ReplayResult Replay(const std::string& name) {
   std::ifstream file(std::string(WILLOWRAIL_STREAMS) + "/" + name + ".txt");
-  REQUIRE_MESSAGE(file.good(), "no stream " << name);
+  REQUIRE_MESSAGE(file.good(), "missing recorded stream " << name);
   std::ostringstream reply;
   scheduling::simulator::Host host(reply);
-  Tally tally;
+  ReplayResult result;
   Lines expected;
   const auto compare = [&](const std::string& batch) {
-    Lines got;
+    Lines actual;
     std::istringstream in(reply.str());
     for (std::string line; std::getline(in, line);) {
-      if (Compared(line)) got.push_back(line);
+      if (IsCompared(line)) actual.push_back(line);
     }
     reply.str("");
-    tally.actions += static_cast<int>(expected.size());
-    if (got == expected) return;
-    if (++tally.differing > 1) return;
-    tally.first = batch + ":";
-    for (const std::string& line : expected) tally.first += "\n  recorded " + line;
-    for (const std::string& line : got) tally.first += "\n  today    " + line;
+    result.actions += static_cast<int>(expected.size());
+    if (actual == expected) return;
+    if (++result.differing > 1) return;
+    result.first_difference = batch + ":";
+    for (const std::string& line : expected) result.first_difference += "\n  recorded " + line;
+    for (const std::string& line : actual) result.first_difference += "\n  actual   " + line;
   };
   std::string batch;
   for (std::string line; std::getline(file, line);) {
@@ -54,41 +54,42 @@
         if (!batch.empty()) compare(batch);
         batch = text;
         expected.clear();
-        ++tally.batches;
+        ++result.batches;
       }
       host.Line(text);
-    } else if (Compared(text)) {
+    } else if (IsCompared(text)) {
       expected.push_back(text);
-      tally.offers += text.starts_with("claim_room\t");
-      tally.refusals += text.starts_with("not_now\t") || text.starts_with("error\t");
+      result.attempts += text.starts_with("claim_room\t");
+      result.rejections += text.starts_with("not_now\t") || text.starts_with("error\t");
     }
   }
   compare(batch);
-  return tally;
+  return result;
 }
 
-void Holds(const Tally& tally) {
-  CHECK_MESSAGE(tally.differing == 0,
-                tally.differing << " of " << tally.batches << " batches differ, first in " << tally.first);
+void ExpectNoDifference(const ReplayResult& result) {
+  CHECK_MESSAGE(result.differing == 0, result.differing << " of " << result.batches
+                                                        << " batches differ, first in "
+                                                        << result.first_difference);
 }
 
-TEST_CASE("a calm day is decided as recorded") {
-  const Tally tally = Replay("calm");
-  CHECK(tally.offers > 250);
-  Holds(tally);
+TEST_CASE("decisions on a day of low load are as recorded") {
+  const ReplayResult result = Replay("calm");
+  CHECK(result.attempts > 250);
+  ExpectNoDifference(result);
 }
 
-TEST_CASE("a crowded day is decided as recorded") {
-  const Tally tally = Replay("crowded");
-  CHECK(tally.offers > 250);
-  CHECK(tally.refusals > 50);
-  Holds(tally);
+TEST_CASE("decisions on a day of overload are as recorded") {
+  const ReplayResult result = Replay("crowded");
+  CHECK(result.attempts > 250);
+  CHECK(result.rejections > 50);
+  ExpectNoDifference(result);
 }
 
-TEST_CASE("a day on which nodes come, drain and die is decided as recorded") {
-  const Tally tally = Replay("churning");
-  CHECK(tally.offers > 250);
-  Holds(tally);
+TEST_CASE("decisions on a day with nodes that start and drain and fail are as recorded") {
+  const ReplayResult result = Replay("churning");
+  CHECK(result.attempts > 250);
+  ExpectNoDifference(result);
 }
 
 }  // namespace
