--- a/src/scheduling/endpoint_list_updater.cpp
+++ b/src/scheduling/endpoint_list_updater.cpp
@@ -13,7 +13,7 @@
   components_.watch.RecordUpdate(event.kind != EndpointListUpdate::kCached);
   components_.view.RecordListUpdate();
   if (event.kind != EndpointListUpdate::kDelta) MarkAllUnlisted();
-  for (const NodeEntry& entry : *event.entries) Apply(entry, event.kind);
+  for (const NodeEntry& entry : *event.entries) ApplyEntry(entry, event.kind);
   components_.view.RemoveListedOwnChanges();
   EraseUnusedNodes();
   components_.index.Configure();
@@ -27,7 +27,7 @@
   }
 }
 
-void EndpointListUpdater::Apply(const NodeEntry& entry, EndpointListUpdate kind) {
+void EndpointListUpdater::ApplyEntry(const NodeEntry& entry, EndpointListUpdate kind) {
   Node* node = components_.view.FindOrInsert(entry.node);
   const NodeEntry& previous = node->entry;
   const bool shows_capacity = context_.settings.shows_free_capacity;
--- a/src/scheduling/endpoint_list_updater.h
+++ b/src/scheduling/endpoint_list_updater.h
@@ -34,7 +34,7 @@
 
  private:
   void MarkAllUnlisted();
-  void Apply(const NodeEntry& entry, EndpointListUpdate kind);
+  void ApplyEntry(const NodeEntry& entry, EndpointListUpdate kind);
   void ResetForNewIncarnation(Node* node, Time started_at);
   void EraseUnusedNodes();
 
--- a/src/scheduling/node_selector.cpp
+++ b/src/scheduling/node_selector.cpp
@@ -139,7 +139,8 @@
 
 // Schedulers with the same stale view would otherwise all send to the same scarce capacity. If the competing
 // requests exceed the capacity that is free or becomes free within kViewAge, an attempt is started only with
-// the probability that capacity remains for it.
+// a probability of their ratio. A pending request is retried several times within kViewAge, so that its
+// probability per retry is lower by that factor.
 bool NodeSelector::AdmitsUnderContention(const Request& request) {
   const double competing = components_.contention.CompetingRequests(components_.pending.size());
   free_slots_ += components_.contention.ExpectedEnds();
