--- a/src/scheduling/endpoint_list_watch.cpp
+++ b/src/scheduling/endpoint_list_watch.cpp
@@ -31,7 +31,7 @@
   requested_ = false;
   not_before_ = context_.now + static_cast<Time>(static_cast<double>(backoff_) * (0.5 + jitter));
   backoff_ = std::min(2 * backoff_, kMaxBackoff);
-  if (first) context_.Log("endpoint list unavailable, retrying with backoff");
+  if (first) context_.Log("the node list is out of reach, asking again");
 }
 
 void EndpointListWatch::RecordUpdate(bool live) {
