--- a/src/scheduling/outlier_detector.cpp
+++ b/src/scheduling/outlier_detector.cpp
@@ -15,8 +15,7 @@
   if (failures == 0) {
     const auto key = [](const Node* other) { return other->key; };
     ejected_.insert(std::ranges::upper_bound(ejected_, node->key, {}, key), node);
-    context_.Log("node " + std::to_string(node->entry.node) +
-                 " does not answer, set aside");
+    context_.Log("node " + std::to_string(node->entry.node) + " does not answer, set aside");
   }
   const Time duration = std::min<Time>(kMaxEjection, kInitialEjection << std::min(failures, kMaxDoublings));
   ++failures;
