--- a/src/node_suspension/node_suspensions.cpp
+++ b/src/node_suspension/node_suspensions.cpp
@@ -42,7 +42,7 @@
   Uids uids;
   while (!text.empty()) {
     const std::size_t end = text.find('\n');
-    if (end == std::string_view::npos) break;  // an incomplete last line is no uid
+    if (end == std::string_view::npos) break;  // the last line is incomplete and ignored
     if (end > 0) uids.emplace(text.substr(0, end));
     text.remove_prefix(end + 1);
   }
@@ -71,7 +71,8 @@
 
 std::vector<NodeSuspensions::NodeId> NodeSuspensions::ApplyText(std::string_view text,
                                                                 std::uint64_t written_call, Time now) {
-  std::erase_if(pending_calls_, [&](const auto& call) { return call.second.number <= written_call; });
+  std::erase_if(pending_calls_,
+                [&](const auto& call) { return call.second.sequence_number <= written_call; });
   Uids wanted = ParseUids(text);
   ApplyCalls(pending_calls_, &wanted);
   std::vector<NodeId> changed;
