--- a/src/clients/client_admission.cpp
+++ b/src/clients/client_admission.cpp
@@ -1,4 +1,4 @@
-// ClientFrontend: the accept mode, draining, and the eviction of connections over the limit.
+// ClientFrontend: accept mode, draining, and eviction of connections over the limit.
 #include <algorithm>
 
 #include "clients/client_frontend.h"
@@ -7,27 +7,27 @@
 namespace cluster_manager {
 namespace {
 
-constexpr Time kQuietCheckInterval = 10 * kMs;
-// The clients' share of the descriptors, in eighths.
-constexpr int kClientShare = 5;
+constexpr Time kIdleCheckInterval = 10 * kMs;
+// Share of the descriptors that clients may hold.
+constexpr int kClientShareInEighths = 5;
 
 }  // namespace
 
 void ClientFrontend::SetDescriptorLimit(int descriptors) {
-  max_connections_ = static_cast<std::size_t>(std::max(descriptors * kClientShare / 8, 1));
+  max_connections_ = static_cast<std::size_t>(std::max(descriptors * kClientShareInEighths / 8, 1));
 }
 
-// Keeps the descriptors that nodes and discovery need from being taken by clients that connect by the
-// hundred and stay. The connection with the lowest EvictionRank is closed, in order and not by a reset.
+// Closes the connection with the lowest EvictionRank, in order and not by a reset, so that a large number of
+// client connections cannot exhaust the descriptors that nodes and discovery need.
 void ClientFrontend::EvictConnection() {
   ++counters.client_evictions;
   const Handle victim = FindEvictionVictim();
   connections_.Get(victim)->transport->Finish();
-  Remove(victim);
+  RemoveConnection(victim);
 }
 
-// A connection with unread input is passed over, as it may hold a request. Where every connection is in use,
-// the newest goes.
+// Skips connections with unread input, which may hold a request. Returns the newest connection if all are in
+// use.
 Handle ClientFrontend::FindEvictionVictim() {
   const Time now = loop_->Now();
   Handle victim = 0;
@@ -48,7 +48,7 @@
   return victim != 0 ? victim : newest;
 }
 
-bool ClientFrontend::IsEmptying() const {
+bool ClientFrontend::ClosesIdleConnections() const {
   return accept_mode_ == AcceptMode::kDraining || accept_mode_ == AcceptMode::kHandingOver;
 }
 
@@ -56,12 +56,12 @@
   accept_mode_ = accept_mode;
   if (accept_mode == AcceptMode::kHandingOver) listener_.Close();
   completion_connection_ = 0;
-  if (IsEmptying() && quiet_check_ == 0) CloseQuietConnections();
+  if (ClosesIdleConnections() && idle_check_timer_ == 0) CloseIdleConnections();
 }
 
-// While tasks run or completions are pending in a drained cluster manager, one served connection stays open
-// to send completions on: the youngest, as its client will keep it longest. It takes no new request, or it
-// would never become empty.
+// While tasks run or completions are pending in a draining cluster manager, keeps one connection of a served
+// client open to send completions on: the newest, since its client is likely to keep it longest. New requests
+// on it are rejected, since otherwise it might never become idle.
 void ClientFrontend::SelectCompletionConnection() {
   const bool completions_expected = events_->RunningTasks() > 0 || completions_.pending() > 0;
   const bool needed = accept_mode_ == AcceptMode::kDraining && completions_expected;
@@ -69,27 +69,28 @@
   if (needed && current != nullptr && !current->IsClosing()) return;
   completion_connection_ = 0;
   if (!needed) return;
-  Time youngest = 0;
+  Time newest_connected_at = 0;
   connections_.ForEach([&](Handle handle, const ClientConnection& client) {
-    if (!client.IsServed() || client.IsClosing() || client.connected_at <= youngest) return;
-    youngest = client.connected_at;
+    if (!client.IsServed() || client.IsClosing() || client.connected_at <= newest_connected_at) return;
+    newest_connected_at = client.connected_at;
     completion_connection_ = handle;
   });
 }
 
-// A connection with unread input is kept, as a request may cross the close.
-void ClientFrontend::CloseQuietConnections() {
-  quiet_check_ = 0;
-  if (!IsEmptying()) return;
+// Runs periodically while connections are to be closed. Keeps those with unread input, which may hold a
+// request.
+void ClientFrontend::CloseIdleConnections() {
+  idle_check_timer_ = 0;
+  if (!ClosesIdleConnections()) return;
   const Time now = loop_->Now();
-  std::vector<Handle> quiet;
+  std::vector<Handle> idle;
   SelectCompletionConnection();
   connections_.ForEach([&](Handle handle, const ClientConnection& client) {
-    if (client.IsClosing() || handle == completion_connection_ || !client.IsQuiet(now)) return;
-    quiet.push_back(handle);
+    if (client.IsClosing() || handle == completion_connection_ || !client.IsIdle(now)) return;
+    idle.push_back(handle);
   });
-  for (const Handle handle : quiet) CloseGracefully(handle);
-  quiet_check_ = loop_->After(kQuietCheckInterval, [this] { CloseQuietConnections(); });
+  for (const Handle handle : idle) CloseGracefully(handle);
+  idle_check_timer_ = loop_->After(kIdleCheckInterval, [this] { CloseIdleConnections(); });
 }
 
 }  // namespace cluster_manager
--- a/src/clients/client_completions.cpp
+++ b/src/clients/client_completions.cpp
@@ -1,4 +1,4 @@
-// ClientFrontend: completions of running tasks, written on any connection that the client reads.
+// ClientFrontend: sending the completions of running tasks, and the choice of the connection for each.
 #include <utility>
 #include <vector>
 
@@ -12,20 +12,20 @@
 using protocol::Type;
 using protocol::Writer;
 
-// A completion waits so long for a connection of a served client; then it goes to any other, too.
+// How long a completion is held back for a connection of a served client, before any other may be used.
 constexpr Time kServedConnectionWait = 600 * kMs;
 
 }  // namespace
 
-// The connection that the task was requested on; null where it is closed or closing, or did not confirm this
-// completion.
-ClientConnection* ClientFrontend::FindOriginConnection(const CompletionQueue::Completion& completion) {
+// The connection that the task was requested on; null if it is closed or closing, or has left this completion
+// unconfirmed.
+ClientConnection* ClientFrontend::FindRequestConnection(const CompletionQueue::Completion& completion) {
   if (completion.origin_connection == completion.unresponsive_connection) return nullptr;
-  ClientConnection* origin = connections_.Get(completion.origin_connection);
-  return origin != nullptr && !origin->IsClosing() ? origin : nullptr;
+  ClientConnection* client = connections_.Get(completion.origin_connection);
+  return client != nullptr && !client->IsClosing() ? client : nullptr;
 }
 
-// The open connection with the highest CompletionRank, except `excluded`; null where there is none.
+// The open connection with the highest CompletionRank, except `excluded`; null if there is none.
 ClientConnection* ClientFrontend::FindBestConnection(Handle excluded) {
   const Time now = loop_->Now();
   ClientConnection* best = nullptr;
@@ -40,15 +40,16 @@
   if (client->OnServed() && completions_.pending() > 0) SendPendingCompletions();
 }
 
-// False where no connection can take it now.
+// False if there is no suitable connection at the moment.
 bool ClientFrontend::TrySendCompletion(const CompletionQueue::Completion& completion) {
-  ClientConnection* const origin = FindOriginConnection(completion);
+  ClientConnection* const request_connection = FindRequestConnection(completion);
   const Handle unresponsive = completion.unresponsive_connection;
-  ClientConnection* client = origin != nullptr ? origin : FindBestConnection(unresponsive);
-  // An unresponsive connection is better than none.
+  ClientConnection* client =
+      request_connection != nullptr ? request_connection : FindBestConnection(unresponsive);
+  // Without an alternative the unresponsive connection is used again.
   if (client == nullptr && unresponsive != 0) client = FindBestConnection(0);
   if (client == nullptr) return false;
-  const bool preferred = client->IsServed() || client == origin;
+  const bool preferred = client->IsServed() || client == request_connection;
   if (!preferred && loop_->Now() - completion.added_at < kServedConnectionWait) return false;
   WriteCompletion(completion, client);
   return true;
@@ -57,7 +58,8 @@
 void ClientFrontend::WriteCompletion(const CompletionQueue::Completion& completion,
                                      ClientConnection* client) {
   Connection& transport = *client->transport;
-  // A connection that was never served may be anybody's: there only a confirmation counts as received.
+  // The peer of a connection that was never served may not be a genuine client: there the completion counts
+  // as received only once it is confirmed.
   const bool confirming = client->confirms_completions || !client->IsServed();
   const Type type = static_cast<Type>(completion.message_type);
   {
@@ -68,9 +70,9 @@
                         transport.queued_position());
 }
 
-// A connection whose end has arrived and was not processed yet delivers nothing: what became of the bytes is
-// not known.
-CompletionQueue::Delivery ClientFrontend::DeliveryOf(const CompletionQueue::Completion& completion) {
+// If the end of the connection has arrived but has not been processed yet, the completion counts as not
+// delivered, since it is unknown whether the client has read it.
+CompletionQueue::Delivery ClientFrontend::GetDelivery(const CompletionQueue::Completion& completion) {
   using Delivery = CompletionQueue::Delivery;
   const ClientConnection* client = connections_.Get(completion.connection);
   if (client == nullptr) return Delivery::kQueued;
@@ -86,14 +88,14 @@
   if (!TrySendCompletion(completion)) ++counters.completions_queued;
 }
 
-// Oldest first. Once one has found no connection at all, only those with an open origin connection can be
-// sent.
+// Sends the pending completions, oldest first. Once there was no connection for one of them, only those whose
+// request connection is open can be sent.
 void ClientFrontend::SendPendingCompletions() {
   bool no_connection = false;
   for (const CompletionQueue::Completion& completion : completions_.Pending()) {
-    const bool has_origin = FindOriginConnection(completion) != nullptr;
-    if (no_connection && !has_origin) continue;
-    if (!TrySendCompletion(completion) && !has_origin) no_connection = true;
+    const bool has_request_connection = FindRequestConnection(completion) != nullptr;
+    if (no_connection && !has_request_connection) continue;
+    if (!TrySendCompletion(completion) && !has_request_connection) no_connection = true;
   }
 }
 
@@ -106,9 +108,9 @@
   return remaining;
 }
 
-void ClientFrontend::SendCompletion(Handle client_connection, TaskId id, TaskEnd over) {
+void ClientFrontend::SendCompletion(Handle client_connection, TaskId id, TaskEnd task_end) {
   ++counters.completions_sent;
-  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
+  const Cause cause = task_end == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
   QueueCompletion(client_connection, Type::kRelease, id, cause);
 }
 
--- a/src/clients/client_connection.cpp
+++ b/src/clients/client_connection.cpp
@@ -5,43 +5,43 @@
 namespace cluster_manager {
 namespace {
 
-// Every connection that does not behave like a client's is answered or closed within 3 s of connecting; the
-// limits leave room for the interval at which ClientFrontend checks them.
-constexpr Time kFirstMessageTimeout = 2 * kSecond;      // without a valid request
-constexpr Time kFirstMessageTimeoutMax = 2500 * kMs;    // where a message has begun
-constexpr Time kUnfinishedMessageTimeout = 1500 * kMs;  // of any message
+// A connection without a valid message from a client is closed within 3 s of connecting. These limits are
+// lower by the interval at which ClientFrontend checks them.
+constexpr Time kFirstMessageTimeout = 2 * kSecond;      // until the first valid request
+constexpr Time kFirstMessageTimeoutMax = 2500 * kMs;    // if a message has begun
+constexpr Time kUnfinishedMessageTimeout = 1500 * kMs;  // from the first byte of any message
 constexpr Time kIdleTimeout = 6 * kSecond;              // clients close unused connections after 4 s
-constexpr Time kFirstMessageGrace = 100 * kMs;          // a new client's message may be on its way
-// After the close of this side: for the client to read what was written last.
+constexpr Time kFirstMessageGrace = 100 * kMs;          // the first message of a new client may be in flight
+// After closing this side, for the client to read the last bytes written.
 constexpr Time kCloseLinger = 400 * kMs;
-constexpr Time kCloseLingerMax = 2 * kSecond;  // where not everything has been written yet
-// While draining, a connection without traffic for this long is closed. Operators count a connection as held
-// from 200 ms on.
-constexpr Time kQuietTime = 20 * kMs;
-constexpr Time kQuietTimeBeforeRequest = 120 * kMs;
-// A client closes an unused connection after some seconds: from this idle time on it may be closing.
+constexpr Time kCloseLingerMax = 2 * kSecond;  // if bytes are still queued
+// While draining, connections without traffic for this long are closed. Operators consider a connection that
+// stays open for 200 ms as held.
+constexpr Time kDrainIdleTimeout = 20 * kMs;
+constexpr Time kDrainIdleTimeoutBeforeRequest = 120 * kMs;
+// Clients close unused connections after some seconds. From this idle time on a close may be in progress.
 constexpr Time kMayBeClosingAfter = 3 * kSecond;
 
 }  // namespace
 
-ClientConnection::State ClientConnection::Next(State state, Event event) {
+ClientConnection::State ClientConnection::NextState(State state, Event event) {
   if (state == State::kClosing || event == Event::kClose) return State::kClosing;
-  const bool served_before = state == State::kServed || state == State::kServedSilent;
+  const bool served_before = state == State::kServed || state == State::kServedUnidentified;
   const bool request_before = state == State::kIdentified || state == State::kServed;
   const bool served = served_before || event == Event::kServed;
   const bool request = request_before || event == Event::kValidRequest;
-  if (served) return request ? State::kServed : State::kServedSilent;
+  if (served) return request ? State::kServed : State::kServedUnidentified;
   return request ? State::kIdentified : State::kNew;
 }
 
 bool ClientConnection::OnServed() {
   const bool before = IsServed();
-  state_ = Next(state_, Event::kServed);
+  state_ = NextState(state_, Event::kServed);
   return !before && IsServed();
 }
 
 void ClientConnection::OnClose(Time now) {
-  state_ = Next(state_, Event::kClose);
+  state_ = NextState(state_, Event::kClose);
   closing_since_ = now;
 }
 
@@ -56,8 +56,8 @@
   const Time connected = now - connected_at;
   const Time unfinished_since = transport->unfinished_since;
   const bool in_message = unfinished_since > 0;
-  // Where the client reads slowly, this process stops reading from it: then the rest of the message may be
-  // held up here.
+  // If the client reads slowly, this process stops reading from it. The rest of the message may then be
+  // waiting in the receive buffer.
   if (in_message && transport->flushed() && now - unfinished_since >= kUnfinishedMessageTimeout) return true;
   const bool message_in_time = in_message && connected < kFirstMessageTimeoutMax;
   if (!HasSentValidRequest() && connected >= kFirstMessageTimeout && !message_in_time) return true;
@@ -74,9 +74,9 @@
   return !transport->Unread();
 }
 
-bool ClientConnection::IsQuiet(Time now) const {
+bool ClientConnection::IsIdle(Time now) const {
   if (!unanswered_requests.empty() || transport->unfinished_since > 0 || !transport->flushed()) return false;
-  const Time limit = HasSentValidRequest() ? kQuietTime : kQuietTimeBeforeRequest;
+  const Time limit = HasSentValidRequest() ? kDrainIdleTimeout : kDrainIdleTimeoutBeforeRequest;
   return now - transport->last_traffic >= limit && !transport->Unread();
 }
 
@@ -87,7 +87,7 @@
     return {EvictionPriority::kBusyTransfer, connected_at};
   if (!HasSentValidRequest()) {
     const bool fresh = now - connected_at < kFirstMessageGrace;
-    return {fresh ? EvictionPriority::kBusyTransfer : EvictionPriority::kSilent, connected_at};
+    return {fresh ? EvictionPriority::kBusyTransfer : EvictionPriority::kUnidentified, connected_at};
   }
   if (running_tasks > 0 && IsServed()) return {EvictionPriority::kAwaitsCompletion, transport->last_traffic};
   return {EvictionPriority::kIdle, transport->last_traffic};
--- a/src/clients/client_frontend.cpp
+++ b/src/clients/client_frontend.cpp
@@ -13,14 +13,14 @@
 using protocol::Message;
 
 constexpr Time kTimeoutCheckInterval = 250 * kMs;
-// While the process stops: a request follows the accept of its connection within this time.
+// During shutdown, the first request of a client is waited for until this time after its connect.
 constexpr Time kFirstMessageGrace = 200 * kMs;
-// Clients that reset their connections together are all noticed within this time.
+// Time within which simultaneous resets of several connections have all been processed.
 constexpr Time kResetBatchDelay = 10 * kMs;
 
-Listener Listen(EventLoop* loop, const Config& config, std::function<void(int)> accepted) {
-  if (config.listen_socket >= 0) return Listener(loop, config.listen_socket, std::move(accepted));
-  return Listener(loop, config.listen, std::move(accepted));
+Listener Listen(EventLoop* loop, const Config& config, std::function<void(int)> on_accepted) {
+  if (config.listen_socket >= 0) return Listener(loop, config.listen_socket, std::move(on_accepted));
+  return Listener(loop, config.listen, std::move(on_accepted));
 }
 
 }  // namespace
@@ -45,30 +45,30 @@
   if (connections_.size() > max_connections_) EvictConnection();
 }
 
-// Asks the kernel once per connection and turn of the loop only, as many connections may be accepted in one
-// turn: input found unread stays unread until a later turn.
+// Limits the system calls to one per connection and loop iteration, since many connections may be accepted in
+// one iteration. Input that was found unread stays unread until a later iteration.
 bool ClientFrontend::HasUnreadInput(ClientConnection* client) {
-  if (client->unread_in_turn == loop_->turn()) return true;
+  if (client->unread_in_iteration == loop_->turn()) return true;
   if (!client->transport->Unread()) return false;
-  client->unread_in_turn = loop_->turn();
+  client->unread_in_iteration = loop_->turn();
   return true;
 }
 
 void ClientFrontend::CheckTimeouts() {
   const Time now = loop_->Now();
-  std::vector<Handle> closed;
+  std::vector<Handle> finished_closing;
   std::vector<Handle> timed_out;
   connections_.ForEach([&](Handle handle, ClientConnection& client) {
-    // Input is not read while the client does not read its output: notice here that it has disconnected.
+    // Reading is paused while the client does not read its replies, so a disconnect is detected here.
     Connection& transport = *client.transport;
     if (transport.paused() && transport.LookAhead() == Incoming::kEnd) transport.ReadToEnd();
-    if (client.HasFinishedClosing(now)) closed.push_back(handle);
+    if (client.HasFinishedClosing(now)) finished_closing.push_back(handle);
     if (!client.IsClosing() && client.ShouldClose(now)) timed_out.push_back(handle);
   });
-  for (const Handle handle : closed) Remove(handle);
+  for (const Handle handle : finished_closing) RemoveConnection(handle);
   for (const Handle handle : timed_out) CloseGracefully(handle);
   using Completion = CompletionQueue::Completion;
-  completions_.CheckTimeouts(now, [this](const Completion& completion) { return DeliveryOf(completion); });
+  completions_.CheckTimeouts(now, [this](const Completion& completion) { return GetDelivery(completion); });
   counters.completions_assumed_received = completions_.assumed_received();
   counters.completions_expired = completions_.expired();
   counters.completions_dropped_full = completions_.evicted();
@@ -76,8 +76,8 @@
   loop_->After(kTimeoutCheckInterval, [this] { CheckTimeouts(); });
 }
 
-// Answers that are queued still reach the client; its unanswered requests are abandoned. A release of a
-// running task that crosses the close is still read.
+// Queued replies are still sent to the client; its unanswered requests are cancelled. A release of a running
+// task that the client has sent before it sees the close is still read.
 void ClientFrontend::CloseGracefully(Handle handle, Connection::Rest rest) {
   ClientConnection* client = connections_.Get(handle);
   if (client == nullptr || client->IsClosing()) return;
@@ -88,7 +88,7 @@
   for (const TaskId id : unanswered) events_->OnClientDisconnected(id, handle);
 }
 
-void ClientFrontend::Remove(Handle handle) {
+void ClientFrontend::RemoveConnection(Handle handle) {
   ClientConnection* client = connections_.Get(handle);
   if (client == nullptr) return;
   ++counters.client_closes;
@@ -96,11 +96,12 @@
   loop_->DestroyLater(std::move(client->transport));
   connections_.Erase(handle);
   for (const TaskId id : unanswered) events_->OnClientDisconnected(id, handle);
-  // A completion that crossed the client's close has not been read: it is sent again.
-  const std::size_t pending_again = completions_.OnConnectionLost(handle);
-  counters.completions_resent += pending_again;
-  // The delay keeps completions from going to one client after another while all of them reset.
-  if (pending_again == 0 || std::exchange(send_scheduled_, true)) return;
+  // A completion that was sent while the client closed the connection was not read: it is sent again.
+  const std::size_t requeued = completions_.OnConnectionLost(handle);
+  counters.completions_resent += requeued;
+  // The delay avoids sending the completions to one connection after another while all of them are being
+  // reset.
+  if (requeued == 0 || std::exchange(send_scheduled_, true)) return;
   loop_->After(kResetBatchDelay, [this] {
     send_scheduled_ = false;
     SendPendingCompletions();
@@ -109,22 +110,22 @@
 
 std::size_t ClientFrontend::OnData(Connection& transport, std::string_view data) {
   bool malformed = false;
-  const std::size_t taken = protocol::DecodeAll(data, &malformed, [&](const Message& message) {
+  const std::size_t consumed = protocol::DecodeAll(data, &malformed, [&](const Message& message) {
     malformed = !HandleMessage(transport, message);
     return !malformed && transport.open() && transport.reads();
   });
   if (malformed && transport.open()) {
     ++counters.malformed;
-    Log("a client's message is malformed, closing its connection");
+    Log("client: malformed message, closing the connection");
     CloseGracefully(transport.tag, Connection::Rest::kReadNoMore);
   }
-  return taken;
+  return consumed;
 }
 
-void ClientFrontend::OnEnd(Connection& transport, Ending) { Remove(transport.tag); }
+void ClientFrontend::OnEnd(Connection& transport, Ending) { RemoveConnection(transport.tag); }
 
-// Where no client is connected, pending completions cannot be sent and do not count. A client that has just
-// connected is waited for, as its first message is on its way.
+// Pending completions are ignored if no client is connected, since they cannot be sent. False while the first
+// message of a client that has just connected may be in flight.
 bool ClientFrontend::IsQuiescent() {
   const Time now = loop_->Now();
   bool quiescent = true;
--- a/src/clients/client_frontend.h
+++ b/src/clients/client_frontend.h
@@ -1,14 +1,16 @@
-// The side of a cluster manager that clients see: accepts their connections, reads requests, releases and
-// health checks, and writes answers and task completions.
+// The front end of a cluster manager for its clients: accepts their connections, reads requests, releases and
+// health checks, and writes replies and task completions.
 //
-// Owns the listening socket, the client connections and the queue of completions that no client has confirmed
-// yet. ServerProcess constructs and steers it, Dispatcher calls it through ClientPort and is called back
-// through ClientEvents. Everything runs on the thread of the event loop. Bounds: SetDescriptorLimit for the
-// connections, kMaxUnansweredRequests for requests on one of them, CompletionQueue::kMaxEntries.
+// Owns the listening socket, the client connections and the queue of unconfirmed completions. ServerProcess
+// constructs and controls it; Dispatcher calls it through ClientPort and is called back through ClientEvents.
+// Everything runs on the thread of the event loop. Bounds: SetDescriptorLimit for the connections,
+// kMaxUnansweredRequests for the requests on one connection, CompletionQueue::kMaxEntries for completions.
 //
-// The parts: client_frontend.cpp accepts, times out and closes connections; client_admission.cpp the accept
-// mode, draining and eviction; client_messages.cpp what clients send; client_replies.cpp answers to requests;
-// client_completions.cpp the choice of a connection for a completion.
+//   client_frontend.cpp      accepting, time-outs, closing of connections
+//   client_admission.cpp     accept mode, draining, eviction
+//   client_messages.cpp      messages from clients
+//   client_replies.cpp       replies to requests
+//   client_completions.cpp   completions and the choice of a connection for them
 #pragma once
 
 #include <cstddef>
@@ -30,50 +32,54 @@
 
 namespace cluster_manager {
 
+// All methods are called on the thread of the event loop.
 class ClientFrontend final : public ClientPort, public Connection::Handler {
  public:
-  // All pointers and `classes` must outlive the frontend. Throws where the address cannot be listened on.
+  // All pointers and `classes` must outlive the frontend. Throws if listening on the address fails.
   ClientFrontend(EventLoop* loop, const Config& config, const ClassTable& classes, ClientEvents* events);
-  // Takes the largest resources of a request from the settings in force; to be called after they change.
+  // Applies the resource limits for requests of the settings in force. To be called after each change of
+  // them.
   void UpdateRequestLimits() { parser_.UpdateLimits(); }
 
   sockaddr_in address() const { return listener_.address(); }
-  // `descriptors`: how many the process may hold. Clients get five eighths of them, nodes most of the rest.
+  // `descriptors`: the limit for the process. Clients get five eighths of it, nodes most of the rest.
   void SetDescriptorLimit(int descriptors);
-  // How clients are served.
-  //   kStarting      health checks fail, all else is as with kOpen
-  //   kOpen          health checks pass, connections stay as long as clients keep them
-  //   kDraining      by an operator: health checks fail, quiet connections are closed, new ones are served
-  //   kHandingOver   another process serves at this address from now on: no connection is accepted any more,
-  //                  health checks pass, as the cluster manager is ready, and quiet connections are closed
-  //   kShuttingDown  a planned restart: health checks fail, all else goes on until CloseAllGracefully()
+  // How connections are accepted and served.
+  //   kStarting      health checks fail, otherwise as kOpen
+  //   kOpen          health checks pass, connections stay open as long as clients keep them
+  //   kDraining      requested by an operator: health checks fail, idle connections are closed, new ones are
+  //                  accepted and served
+  //   kHandingOver   another process of this cluster manager serves the address from now on: no connections
+  //                  are accepted any more, health checks pass, idle connections are closed
+  //   kShuttingDown  planned restart: health checks fail, otherwise as kOpen until CloseAllGracefully()
   enum class AcceptMode { kStarting, kOpen, kDraining, kHandingOver, kShuttingDown };
   void SetAcceptMode(AcceptMode accept_mode);
   AcceptMode accept_mode() const { return accept_mode_; }
-  void Resume() { listener_.Resume(); }  // an inherited socket: accepts from now on
-  // Accepts all that had connected by the time of the call; false where descriptors ran out before.
+  void ResumeAccepting() { listener_.Resume(); }  // starts accepting on an inherited socket
+  // Accepts all connections that are waiting at the time of the call. False if descriptors ran out before.
   bool AcceptAll() { return listener_.AcceptAll(); }
   void StopListening() { listener_.Close(); }
-  // Whether nothing is left to read, to write or to be acknowledged by a peer, and no completion is pending
-  // that a connected client could take.
+  // Whether nothing is left to read, to write or to be acknowledged by a peer, and no pending completion
+  // could be sent to a connected client.
   bool IsQuiescent();
-  // Closes this side of every connection; what is queued is still written.
+  // Closes this side of every connection once its queued bytes are written.
   void CloseAllGracefully();
-  std::size_t size() const { return connections_.size(); }  // connections
+  std::size_t connection_count() const { return connections_.size(); }
   std::size_t queued_completions() const { return completions_.size(); }
-  // The completions that are pending; `all`: also those sent and not confirmed. Oldest first.
+  // The pending completions, oldest first; with `all` also those that were sent and not confirmed.
   std::vector<std::pair<TaskId, TaskEnd>> RemainingCompletions(bool all) const;
 
+  // ClientPort; see there.
   void SendAccepted(Handle client_connection, TaskId id, std::string_view description) override;
-  void SendRejected(Handle client_connection, TaskId id, Time stay_away) override;
-  void SendFailed(Handle client_connection, TaskId id, TaskEnd over) override;
-  void SendCompletion(Handle client_connection, TaskId id, TaskEnd over) override;
+  void SendRejected(Handle client_connection, TaskId id, Time retry_after) override;
+  void SendFailed(Handle client_connection, TaskId id, TaskEnd task_end) override;
+  void SendCompletion(Handle client_connection, TaskId id, TaskEnd task_end) override;
   void SendMigration(Handle client_connection, TaskId id) override;
   void SetTaskRunning(Handle client_connection, bool running) override;
   bool IsClientWaiting(Handle client_connection, std::uint64_t* read_by) override;
 
  private:
-  // kRejected: answered with an error. kProtocolError: the connection is closed.
+  // kRejected: the reply is an error. kProtocolError: the connection is closed.
   enum class RequestResult { kHandled, kRejected, kProtocolError };
 
   // --- Connections
@@ -82,15 +88,15 @@
   void OnEnd(Connection& transport, Ending ending) override;
   void CheckTimeouts();
   void CloseGracefully(Handle handle, Connection::Rest rest = Connection::Rest::kReadOn);
-  void Remove(Handle handle);
+  void RemoveConnection(Handle handle);
   bool HasUnreadInput(ClientConnection* client);
 
   // --- Draining and eviction
   void EvictConnection();
   Handle FindEvictionVictim();
-  void CloseQuietConnections();
+  void CloseIdleConnections();
   void SelectCompletionConnection();
-  bool IsEmptying() const;
+  bool ClosesIdleConnections() const;
 
   // --- Messages
   bool HandleMessage(Connection& transport, const protocol::Message& message);
@@ -103,12 +109,12 @@
   RequestResult HandleNewRequest(Handle handle, TaskRequest request);
 
   // --- Replies and completions
-  Connection* TakeReplyConnection(Handle client_connection, TaskId id);
-  ClientConnection* FindOriginConnection(const CompletionQueue::Completion& completion);
+  Connection* FinishRequest(Handle client_connection, TaskId id);
+  ClientConnection* FindRequestConnection(const CompletionQueue::Completion& completion);
   ClientConnection* FindBestConnection(Handle excluded);
   void MarkServed(ClientConnection* client);
   bool TrySendCompletion(const CompletionQueue::Completion& completion);
-  CompletionQueue::Delivery DeliveryOf(const CompletionQueue::Completion& completion);
+  CompletionQueue::Delivery GetDelivery(const CompletionQueue::Completion& completion);
   void WriteCompletion(const CompletionQueue::Completion& completion, ClientConnection* client);
   void QueueCompletion(Handle client_connection, protocol::Type type, TaskId id, protocol::Cause cause);
   void SendPendingCompletions();
@@ -119,10 +125,10 @@
   ClientEvents* events_;
   SlotTable<ClientConnection> connections_;
   CompletionQueue completions_;
-  bool send_scheduled_ = false;  // SendPendingCompletions is due after a connection was lost
+  bool send_scheduled_ = false;  // SendPendingCompletions is scheduled after the loss of a connection
   AcceptMode accept_mode_ = AcceptMode::kStarting;
-  Handle quiet_check_ = 0;  // the timer of CloseQuietConnections; 0: not set
-  // Kept open for completions while others are closed, and takes no new request; 0: none.
+  Handle idle_check_timer_ = 0;  // of CloseIdleConnections; 0: not set
+  // Kept open for completions while draining, without accepting new requests; 0: none.
   Handle completion_connection_ = 0;
   Listener listener_;
 };
--- a/src/clients/client_messages.cpp
+++ b/src/clients/client_messages.cpp
@@ -1,4 +1,4 @@
-// ClientFrontend: what clients send - requests, releases, health checks and confirmations of completions.
+// ClientFrontend: messages from clients: requests, releases, health checks, confirmations of completions.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -15,14 +15,14 @@
 using protocol::Type;
 using protocol::Writer;
 
-// On one connection; a busy day sees a tenth of it.
+// On one connection; about ten times the number seen under peak load.
 constexpr std::size_t kMaxUnansweredRequests = 512;
-// How long a client is asked to send no request after one over that limit.
+// Retry-After of a request over that limit.
 constexpr Time kOverloadBackoff = kSecond;
 
 }  // namespace
 
-// False where the connection has to be closed for a protocol error.
+// False if the connection has to be closed because of a protocol error.
 bool ClientFrontend::HandleMessage(Connection& transport, const Message& message) {
   const Handle handle = transport.tag;
   ClientConnection* client = connections_.Get(handle);
@@ -43,12 +43,13 @@
     case Type::kReleaseConfirmed:
       HandleConfirmation(handle, message.task);
       return true;
-    default:  // without a meaning from a client
+    default:  // ignored: not sent by clients
       return true;
   }
 }
 
-// A request that crosses the close is ignored: the client sends it again on another connection.
+// Requests are ignored: a client whose request has no reply when the connection closes sends it on another
+// one.
 void ClientFrontend::HandleMessageWhileClosing(Handle handle, const Message& message) {
   ++counters.client_messages_while_closing;
   if (message.type == Type::kRelease) events_->OnClientRelease(message.task, handle);
@@ -95,8 +96,8 @@
   return HandleNewRequest(handle, *std::move(request));
 }
 
-// A task that a node runs already. The connection does not count as served by it, as a client may name a task
-// that no node has.
+// The claim of a task that already runs on a node. It does not make the connection one of a served client,
+// since a client may claim a task that no node runs.
 ClientFrontend::RequestResult ClientFrontend::HandleRunningTask(Handle handle, TaskRequest request) {
   ++counters.tasks_claimed;
   ClientConnection* client = connections_.Get(handle);
@@ -124,7 +125,7 @@
     client->OnValidRequest();
     return RequestResult::kHandled;
   }
-  // Two requests of one id on one connection: an answer could be for either.
+  // Two requests with the same id on one connection: a reply could not be matched to one of them.
   if (duplicate) return RequestResult::kProtocolError;
   std::erase(unanswered, id);
   return RequestResult::kRejected;
--- a/src/clients/client_replies.cpp
+++ b/src/clients/client_replies.cpp
@@ -1,4 +1,4 @@
-// ClientFrontend: answers to requests, written on the connection that the request came by.
+// ClientFrontend: replies to requests, written on the connection that the request was received on.
 #include <vector>
 
 #include "clients/client_frontend.h"
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-// Ends the wait for the answer to request `id`. Returns the connection to write the answer to; null where it
-// is closed or closing.
-Connection* ClientFrontend::TakeReplyConnection(Handle client_connection, TaskId id) {
+// Removes request `id` from the unanswered ones. Returns the connection to write the reply to; null if it is
+// closed or closing.
+Connection* ClientFrontend::FinishRequest(Handle client_connection, TaskId id) {
   ClientConnection* client = connections_.Get(client_connection);
   if (client == nullptr || client->IsClosing()) return nullptr;
   std::erase(client->unanswered_requests, id);
@@ -30,44 +30,44 @@
 
 bool ClientFrontend::IsClientWaiting(Handle client_connection, std::uint64_t* read_by) {
   ClientConnection* client = connections_.Get(client_connection);
-  if (client == nullptr || client->IsClosing()) return false;  // its requests are being abandoned
+  if (client == nullptr || client->IsClosing()) return false;  // its requests are being cancelled
   Connection& transport = *client->transport;
   switch (transport.LookAhead()) {
     case Incoming::kNothing:
       return true;
     case Incoming::kBytes:
-      // Only what has come by the first call is waited for: a client may never stop sending.
+      // Waits only for the bytes that had arrived by the first call, since a client may keep sending.
       if (*read_by == 0) *read_by = transport.bytes_read() + transport.UnreadBytes();
       return transport.bytes_read() >= *read_by;
     case Incoming::kEnd:
-      transport.ReadToEnd();  // also where reading is paused, so that the end is noticed
+      transport.ReadToEnd();  // also while reading is paused, so that the end is processed
       return false;
   }
   return false;
 }
 
 void ClientFrontend::SendAccepted(Handle client_connection, TaskId id, std::string_view description) {
-  Connection* transport = TakeReplyConnection(client_connection, id);
+  Connection* transport = FinishRequest(client_connection, id);
   if (transport == nullptr) return;
   ++counters.acceptances_sent;
   Writer(transport->out(), Type::kTaskAccepted, id).Add(Code::kDescription, description);
   MarkServed(connections_.Get(client_connection));
 }
 
-void ClientFrontend::SendRejected(Handle client_connection, TaskId id, Time stay_away) {
-  Connection* transport = TakeReplyConnection(client_connection, id);
+void ClientFrontend::SendRejected(Handle client_connection, TaskId id, Time retry_after) {
+  Connection* transport = FinishRequest(client_connection, id);
   if (transport == nullptr) return;
   ++counters.rejections_sent;
   Writer message(transport->out(), Type::kRelease, id);
   message.Add(Cause::kRejected);
-  if (stay_away > 0) message.Add(Code::kRetryAfterMs, (stay_away + kMs - 1) / kMs);
+  if (retry_after > 0) message.Add(Code::kRetryAfterMs, (retry_after + kMs - 1) / kMs);
 }
 
-void ClientFrontend::SendFailed(Handle client_connection, TaskId id, TaskEnd over) {
-  Connection* transport = TakeReplyConnection(client_connection, id);
+void ClientFrontend::SendFailed(Handle client_connection, TaskId id, TaskEnd task_end) {
+  Connection* transport = FinishRequest(client_connection, id);
   if (transport == nullptr) return;
   ++counters.failures_sent;
-  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
+  const Cause cause = task_end == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
   Writer(transport->out(), Type::kRelease, id).Add(cause);
 }
 
--- a/src/clients/request_parser.cpp
+++ b/src/clients/request_parser.cpp
@@ -16,24 +16,25 @@
 using protocol::Code;
 using protocol::Message;
 
-constexpr std::int64_t kMaxWaitInDeadlines = 10;  // how many deadlines of its class a request may wait
+// Largest time-out of a request, as a multiple of the deadline of its class.
+constexpr std::int64_t kMaxTimeoutInDeadlines = 10;
 
-bool ReadHex(std::string_view text, std::uint64_t* value) {
+bool ParseHex(std::string_view text, std::uint64_t* value) {
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, *value, 16);
   return error == std::errc() && stop == end;
 }
 
-// -1 where the list has no entry of that name.
+// Index of the entry with that name; -1 if there is none.
 template <typename List>
-int Position(const List& list, std::string_view name) {
+int FindByName(const List& list, std::string_view name) {
   for (std::size_t i = 0; i < list.size(); ++i) {
     if (list[i].name == name) return static_cast<int>(i);
   }
   return -1;
 }
 
-// The message's parameters that are passed on to the node, class first, in one block.
+// Copies the parameters that are forwarded to the node into one block, the class first.
 ForwardedPayload MakePayload(const Message& message) {
   const std::string_view class_name = message.Get(Code::kClass);
   const std::string_view name = message.Get(Code::kName);
@@ -68,13 +69,13 @@
   request.client_connection = client_connection;
   if (request.id == 0 || message.Get(Code::kDescription).empty()) return std::nullopt;
   const scheduling::Settings& settings = classes_.settings();
-  const int tenant = Position(settings.tenants, message.Get(Code::kTenant));
+  const int tenant = FindByName(settings.tenants, message.Get(Code::kTenant));
   request.task.tenant = settings.tenants.empty() ? 0 : tenant;
   if (request.task.tenant < 0) return std::nullopt;
-  if (!ReadHex(message.Get(Code::kName), &request.task.name)) return std::nullopt;
-  if (!ReadResources(message.Get(Code::kResources), &request)) return std::nullopt;
-  if (!ReadClass(message, &request)) return std::nullopt;
-  if (!ReadDeadline(message, now, &request)) return std::nullopt;
+  if (!ParseHex(message.Get(Code::kName), &request.task.name)) return std::nullopt;
+  if (!ParseResources(message.Get(Code::kResources), &request)) return std::nullopt;
+  if (!ParseClass(message, &request)) return std::nullopt;
+  if (!ParseDeadline(message, now, &request)) return std::nullopt;
   request.task.is_retry = message.Has(Code::kRetry);
   request.payload = MakePayload(message);
   counters.bytes_held += request.payload.bytes.size();
@@ -85,10 +86,10 @@
   return classes_.settings().classes[static_cast<std::size_t>(request.task.class_index)];
 }
 
-bool RequestParser::ReadClass(const Message& message, TaskRequest* request) const {
+bool RequestParser::ParseClass(const Message& message, TaskRequest* request) const {
   const std::string_view name = message.Get(Code::kClass);
   if (name.empty()) return false;
-  // The class of a running task may have been dropped by a change of the settings.
+  // The class of a running task may have been removed by a change of the settings.
   const bool running = request->running_on.has_value();
   request->task.class_index = running ? classes_.ForRunningTask(name) : classes_.Position(name);
   if (request->task.class_index < 0) return false;
@@ -97,31 +98,33 @@
   return !needs_key || !message.Get(Code::kIdempotencyKey).empty();
 }
 
-bool RequestParser::ReadDeadline(const Message& message, Time now, TaskRequest* request) const {
-  std::int64_t wait_ms = 0;
-  if (!request->running_on) {  // a running task gets no answer, so that it needs no deadline
-    if (!scheduling::simulator::ReadInt(message.Get(Code::kTimeoutMs), &wait_ms)) return false;
-    if (wait_ms <= 0 || wait_ms > kMaxWaitInDeadlines * SettingsOf(*request).deadline / kMs) return false;
+bool RequestParser::ParseDeadline(const Message& message, Time now, TaskRequest* request) const {
+  std::int64_t timeout_ms = 0;
+  if (!request->running_on) {  // a claim of a running task has no reply, so it needs no deadline
+    if (!scheduling::simulator::ReadInt(message.Get(Code::kTimeoutMs), &timeout_ms)) return false;
+    if (timeout_ms <= 0 || timeout_ms > kMaxTimeoutInDeadlines * SettingsOf(*request).deadline / kMs)
+      return false;
   }
-  request->task.deadline = now + wait_ms * kMs;
+  request->task.deadline = now + timeout_ms * kMs;
   return true;
 }
 
-// "cores:1;memory:2;service:00000000b4d65521", and at:UID where a node runs the task already.
-bool RequestParser::ReadResources(std::string_view text, TaskRequest* request) const {
+// "cores:1;memory:2;service:00000000b4d65521". A claim of a running task also has at:UID, the uid of its
+// node.
+bool RequestParser::ParseResources(std::string_view text, TaskRequest* request) const {
   scheduling::Task& task = request->task;
   bool has_service = false;
   while (!text.empty()) {
-    const std::string_view pair = text.substr(0, text.find(';'));
-    text.remove_prefix(std::min(text.size(), pair.size() + 1));
-    const std::size_t colon = pair.find(':');
+    const std::string_view field = text.substr(0, text.find(';'));
+    text.remove_prefix(std::min(text.size(), field.size() + 1));
+    const std::size_t colon = field.find(':');
     if (colon == std::string_view::npos) return false;
-    const std::string_view name = pair.substr(0, colon);
-    const std::string_view value = pair.substr(colon + 1);
+    const std::string_view name = field.substr(0, colon);
+    const std::string_view value = field.substr(colon + 1);
     bool valid = true;
     if (name == "cores") valid = scheduling::simulator::ReadNumber(value, &task.cores);
     if (name == "memory") valid = scheduling::simulator::ReadNumber(value, &task.memory);
-    if (name == "service") valid = has_service = ReadHex(value, &task.service);
+    if (name == "service") valid = has_service = ParseHex(value, &task.service);
     if (name == "at") request->running_on = NodeIdFromUid(value);
     if (!valid) return false;
   }
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -1,4 +1,4 @@
-// The state machine of a client connection: every state against every event.
+// The state machine of a client connection: all combinations of states and events.
 #include "clients/client_connection.h"
 
 #include <doctest/doctest.h>
@@ -10,23 +10,24 @@
 using Event = ClientConnection::Event;
 
 TEST_CASE("a client connection becomes identified and served by events in either order") {
-  CHECK(ClientConnection::Next(State::kNew, Event::kValidRequest) == State::kIdentified);
-  CHECK(ClientConnection::Next(State::kNew, Event::kServed) == State::kServedSilent);
-  CHECK(ClientConnection::Next(State::kIdentified, Event::kValidRequest) == State::kIdentified);
-  CHECK(ClientConnection::Next(State::kIdentified, Event::kServed) == State::kServed);
-  CHECK(ClientConnection::Next(State::kServedSilent, Event::kServed) == State::kServedSilent);
-  CHECK(ClientConnection::Next(State::kServedSilent, Event::kValidRequest) == State::kServed);
-  CHECK(ClientConnection::Next(State::kServed, Event::kValidRequest) == State::kServed);
-  CHECK(ClientConnection::Next(State::kServed, Event::kServed) == State::kServed);
+  CHECK(ClientConnection::NextState(State::kNew, Event::kValidRequest) == State::kIdentified);
+  CHECK(ClientConnection::NextState(State::kNew, Event::kServed) == State::kServedUnidentified);
+  CHECK(ClientConnection::NextState(State::kIdentified, Event::kValidRequest) == State::kIdentified);
+  CHECK(ClientConnection::NextState(State::kIdentified, Event::kServed) == State::kServed);
+  CHECK(ClientConnection::NextState(State::kServedUnidentified, Event::kServed) ==
+        State::kServedUnidentified);
+  CHECK(ClientConnection::NextState(State::kServedUnidentified, Event::kValidRequest) == State::kServed);
+  CHECK(ClientConnection::NextState(State::kServed, Event::kValidRequest) == State::kServed);
+  CHECK(ClientConnection::NextState(State::kServed, Event::kServed) == State::kServed);
 }
 
 TEST_CASE("a client connection closes from every state and never leaves that state") {
   for (const State state :
-       {State::kNew, State::kIdentified, State::kServedSilent, State::kServed, State::kClosing}) {
-    CHECK(ClientConnection::Next(state, Event::kClose) == State::kClosing);
+       {State::kNew, State::kIdentified, State::kServedUnidentified, State::kServed, State::kClosing}) {
+    CHECK(ClientConnection::NextState(state, Event::kClose) == State::kClosing);
   }
-  CHECK(ClientConnection::Next(State::kClosing, Event::kValidRequest) == State::kClosing);
-  CHECK(ClientConnection::Next(State::kClosing, Event::kServed) == State::kClosing);
+  CHECK(ClientConnection::NextState(State::kClosing, Event::kValidRequest) == State::kClosing);
+  CHECK(ClientConnection::NextState(State::kClosing, Event::kServed) == State::kClosing);
 }
 
 TEST_CASE("a client connection reports once that it has become one of a served client") {
