--- a/src/nodes/address_successors.cpp
+++ b/src/nodes/address_successors.cpp
@@ -1,7 +1,7 @@
-// Addresses that are used again. A node's process can be replaced, at the same address, by that of a node
-// with another uid before the endpoint list says so. Until then tasks are placed in the new process under the
-// old uid. Once the list names the successor, they are transferred to it, so that the removal of the old node
-// does not end them.
+// Address reuse. The process of a node can be replaced at its address by that of a node with another uid
+// before the endpoint list shows the change. Until then, tasks placed in the new process are recorded under
+// the old node. Once the endpoint list names the address successor, they are transferred to its record, so
+// that the removal of the old node does not end them.
 #include <algorithm>
 #include <utility>
 
@@ -15,13 +15,16 @@
   return std::uint64_t{address.sin_addr.s_addr} << 16 | address.sin_port;
 }
 
-// The node that is listed last at an address succeeds the node that was removed from there. The list may name
-// the two in any order.
-void NodeConnectionPool::RecordAddress(NodeId node, const sockaddr_in& before) {
+// Records which node is at an address, and transfers tasks if it is the address successor of another. The
+// node that was last listed at an address succeeds the one that was removed from it. The endpoint list may
+// report the two changes in either order.
+void NodeConnectionPool::RecordAddress(NodeId node, const sockaddr_in& previous_address) {
   NodeRecord& record = nodes_[node];
   if (!record.address_known) return;
-  if (const auto left = last_listed_at_.find(AddressKey(before)); left != last_listed_at_.end()) {
-    if (left->second == node && AddressKey(before) != AddressKey(record.address)) last_listed_at_.erase(left);
+  if (const auto previous = last_listed_at_.find(AddressKey(previous_address));
+      previous != last_listed_at_.end()) {
+    if (previous->second == node && AddressKey(previous_address) != AddressKey(record.address))
+      last_listed_at_.erase(previous);
   }
   NodeId& last = last_listed_at_.try_emplace(AddressKey(record.address), node).first->second;
   const NodeId other = record.removed ? last : std::exchange(last, node);
@@ -33,9 +36,9 @@
   TransferToSuccessor(predecessor, successor);
 }
 
-// Whether `placement`, made at the address of `record`, is in the process of the successor. If the list
-// states when the successor started: the connection was dialed since then. Otherwise: it was made in the
-// current incarnation, and an earlier one has ended.
+// Whether a task that was placed at the address of `record` runs in the process of the successor. Where the
+// endpoint list states when the successor started, this holds if the connection was dialed at or after that
+// time. Otherwise it holds if the task was placed in the current incarnation and an earlier one has ended.
 bool NodeConnectionPool::BelongsToSuccessor(const NodeRecord& record, const NodeRecord& successor_record,
                                             const Placement& placement) {
   if (successor_record.started_at > 0) return placement.dialed_at >= successor_record.started_at;
@@ -54,9 +57,10 @@
   std::ranges::sort(tasks);  // hash tables have no defined order
   counters.tasks_moved_to_address_successor += tasks.size();
   if (!moved.empty() || !tasks.empty()) {
-    Log("node %u: node %u has its address now, with %zu connections, %zu requests and %zu tasks", node,
-        successor, moved.size(), tasks.size() - running, running);
-    // Health checks of the removed node, which nobody answers now.
+    Log("node %u: address taken over by node %u, transferred %zu connections, %zu requests and %zu running "
+        "tasks",
+        node, successor, moved.size(), tasks.size() - running, running);
+    // Fails the health checks of the removed node, which will not be answered any more.
     loop_->After(0, [this, node] { FailUnreachable(node); });
   }
   events_->OnAddressSuccessor(node, successor, tasks);
@@ -69,7 +73,7 @@
   for (const Handle handle : record.connections) {
     const NodeConnection* node_connection = connections_.Get(handle);
     const Placement placement{node_connection->incarnation, node_connection->dialed_at};
-    // A connection that is still being dialed can only lead to the successor.
+    // A connection that is still being dialed can only reach the successor.
     const bool moves =
         node_connection->IsDialing() || BelongsToSuccessor(record, successor_record, placement);
     if (moves) moved.push_back(handle);
@@ -77,7 +81,8 @@
   return moved;
 }
 
-// Moves the attempts that are sent on `moved`. Returns their tasks, and those queued on these connections.
+// Transfers the attempts that were sent on the connections `moved`. Returns their tasks, and the tasks whose
+// attempts are queued on these connections.
 std::vector<TaskId> NodeConnectionPool::TransferAttempts(NodeRecord* record, NodeRecord* successor_record,
                                                          const std::vector<Handle>& moved) const {
   std::vector<TaskId> tasks;
@@ -96,7 +101,7 @@
   return tasks;
 }
 
-// Moves the running tasks that are in the successor's process, adds them to `tasks`, and returns their
+// Transfers the running tasks that are in the successor's process. Adds them to `tasks` and returns their
 // number.
 std::size_t NodeConnectionPool::TransferRunningTasks(NodeRecord* record, NodeRecord* successor_record,
                                                      std::vector<TaskId>* tasks) {
@@ -131,7 +136,7 @@
 
 void NodeConnectionPool::MarkOrphaned(NodeId node, TaskId id) {
   NodeRecord* record = &nodes_[node];
-  if (!record->removed) {  // it is silent
+  if (!record->removed) {  // the node is silent: the task is stopped once a message arrives
     record->orphaned_tasks.push_back(id);
     return;
   }
@@ -142,7 +147,7 @@
   if (at_successor) record = &successor->second;
   if (NodeConnection* node_connection = BestConnection(*record)) {
     SendOrphanStop(id, node_connection);
-    node_connection->transport->Flush();  // before the client is told of the end
+    node_connection->transport->Flush();  // before the client receives the completion
   } else if (at_successor) {
     record->orphaned_tasks.push_back(id);
     if (record->connections.empty()) Dial(successor->first, record);
--- a/src/nodes/attempt_sending.cpp
+++ b/src/nodes/attempt_sending.cpp
@@ -1,4 +1,4 @@
-// Which connection a task request is sent on; sending, deferring and cancelling attempts, and stopping tasks.
+// Choice of the connection for a task request; sending, deferring and cancelling attempts; stopping tasks.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -16,14 +16,15 @@
 using protocol::Writer;
 
 constexpr std::size_t kMaxConnectionsPerNode = 4;
-constexpr std::size_t kExtraBesideSuspect = 2;  // further ones where the others are suspect
-constexpr Time kDeferredRetryDelay = kMs;       // by then the client's connection was read again
-constexpr Time kIdleCloseMargin = kSecond;      // no request is sent so shortly before the node's idle close
+constexpr std::size_t kExtraConnectionsIfSuspect = 2;  // in addition, while all others are suspect
+constexpr Time kDeferredRetryDelay = kMs;              // long enough to read the client's connection again
+constexpr Time kIdleCloseMargin = kSecond;  // before the node's idle close; no request is sent within it
 
 }  // namespace
 
-// Whether something may be written there. Not where the node may be closing it for idleness, since a request
-// that crosses the close would count as one that may have run; nor where its end has arrived unread.
+// Whether messages may be written on the connection. False shortly before the node's idle time-out, since a
+// request sent while the node closes it would count as one that may have run, and false where the end of the
+// stream has arrived but has not been read yet.
 bool NodeConnectionPool::IsUsable(const NodeConnection& node_connection) {
   const Connection& connection = *node_connection.transport;
   if (!connection.up()) return false;
@@ -31,11 +32,11 @@
   return connection.LookAhead() != Incoming::kEnd;
 }
 
-// The connection to write to: a responsive one before a suspect one, then the one with the fewest unanswered
-// requests, then the one used last. Null where none is usable.
+// The connection to write to: responsive ones are preferred to suspect ones, then those with the fewest
+// unanswered requests, then the most recently used. Null where none is usable.
 NodeConnectionPool::NodeConnection* NodeConnectionPool::BestConnection(const NodeRecord& record) {
   const auto rank = [](const NodeConnection& node_connection) {
-    return std::tuple(node_connection.IsSuspect(), node_connection.unanswered,
+    return std::tuple(node_connection.IsSuspect(), node_connection.unanswered_attempts,
                       -node_connection.transport->last_traffic);
   };
   NodeConnection* best = nullptr;
@@ -56,24 +57,24 @@
 }
 
 void NodeConnectionPool::StartAttempt(NodeId node, TaskId id, AttemptId attempt,
-                                      const ForwardedPayload& payload, Time until) {
-  AssignConnection(node, {id, attempt, payload, until});
+                                      const ForwardedPayload& payload, Time deadline) {
+  AssignConnection(node, {id, attempt, payload, deadline});
 }
 
-// Each request gets a connection of its own while there are few, so that one malformed answer or one reset
-// ends few attempts.
+// Sends an attempt on a connection, or queues it on one that is being dialed. Up to the limit per node each
+// request gets a connection of its own, so that one malformed reply or one reset ends few attempts.
 void NodeConnectionPool::AssignConnection(NodeId node, const QueuedAttempt& queued) {
   NodeRecord& record = nodes_[node];
   const std::size_t share = descriptors_.Reserved() / nodes_.size();
-  const std::size_t most = std::clamp<std::size_t>(share, 1, kMaxConnectionsPerNode);
+  const std::size_t max_connections = std::clamp<std::size_t>(share, 1, kMaxConnectionsPerNode);
   NodeConnection* best = BestConnection(record);
-  if (best == nullptr && record.connections.size() >= most) CloseUnusable(&record);
-  const bool at_limit = record.connections.size() >= most;
+  if (best == nullptr && record.connections.size() >= max_connections) CloseUnusable(&record);
+  const bool at_limit = record.connections.size() >= max_connections;
   const bool responsive = best != nullptr && !best->IsSuspect();
   NodeConnection* dialing = DialingConnection(record);
   const bool may_queue = dialing != nullptr && at_limit;
-  const bool no_more_dials = record.connections.size() >= most + kExtraBesideSuspect;
-  const bool prefers_best = responsive && (best->unanswered == 0 || at_limit);
+  const bool no_more_dials = record.connections.size() >= max_connections + kExtraConnectionsIfSuspect;
+  const bool prefers_best = responsive && (best->unanswered_attempts == 0 || at_limit);
   const bool only_best_left = best != nullptr && no_more_dials && !may_queue;
   if (prefers_best || only_best_left) {
     SendTaskRequest(&record, best, queued);
@@ -83,13 +84,13 @@
     dialed->queued_attempts.push_back(queued);
   } else {
     record.unreachable_attempts.push_back(queued);
-    // In a later turn: the caller must not get the event of the failure before this returns.
+    // In the next loop iteration, since the caller must not receive the failure event before this returns.
     loop_->After(0, [this, node] { FailUnreachable(node); });
   }
 }
 
-// Permission is asked at the moment of the write, since the client may leave and the node may drain after the
-// scheduling decision.
+// Asks the dispatcher for permission immediately before the write, since after the scheduling decision the
+// client may have disconnected and the node may have begun to drain.
 void NodeConnectionPool::SendTaskRequest(NodeRecord* record, NodeConnection* node_connection,
                                          const QueuedAttempt& queued) {
   switch (events_->CheckAttemptAllowed(queued.id, queued.attempt)) {
@@ -97,7 +98,7 @@
       ++counters.attempts_not_sent;
       return;
     case AttemptPermission::kAskAgain:
-      Defer(node_connection->node, queued);
+      DeferAttempt(node_connection->node, queued);
       return;
     case AttemptPermission::kGranted:
       break;
@@ -109,23 +110,23 @@
              AddressText(record->address).c_str(), static_cast<unsigned long long>(loop_->turn()));
   }
   record->sent_attempts[queued.id] = {queued.attempt, node_connection->transport->tag, loop_->turn()};
-  ++node_connection->unanswered;
+  ++node_connection->unanswered_attempts;
   Connection* connection = node_connection->transport.get();
   const auto& [bytes, class_end] = queued.payload;
-  const Time remaining_ms = std::max<Time>(1, (queued.until - loop_->Now()) / kMs);
+  const Time remaining_ms = std::max<Time>(1, (queued.deadline - loop_->Now()) / kMs);
   Writer message(connection->out(), Type::kTaskRequest, queued.id);
   connection->Refer(bytes, 0, class_end);
   message.AddExternalBytes(bytes.size()).Add(Code::kTimeoutMs, remaining_ms);
   connection->Refer(bytes, class_end, bytes.size());
 }
 
-void NodeConnectionPool::Defer(NodeId node, const QueuedAttempt& queued) {
+void NodeConnectionPool::DeferAttempt(NodeId node, const QueuedAttempt& queued) {
   deferred_attempts_.push_back({node, queued});
   if (std::exchange(resume_scheduled_, true)) return;
-  loop_->After(kDeferredRetryDelay, [this] { ResumeDeferred(); });
+  loop_->After(kDeferredRetryDelay, [this] { ResumeDeferredAttempts(); });
 }
 
-void NodeConnectionPool::ResumeDeferred() {
+void NodeConnectionPool::ResumeDeferredAttempts() {
   resume_scheduled_ = false;
   for (const DeferredAttempt& deferred : std::exchange(deferred_attempts_, {})) {
     AssignConnection(deferred.node, deferred.queued);
@@ -147,8 +148,8 @@
   });
 }
 
-// Removes the attempts for a task that were not written yet, and returns their number.
-std::size_t NodeConnectionPool::RemoveUnsent(NodeRecord* record, NodeId node, TaskId id) {
+// Removes the attempts for a task that have not been written yet, and returns their number.
+std::size_t NodeConnectionPool::RemoveQueuedAttempts(NodeRecord* record, NodeId node, TaskId id) {
   const auto is_for_task = [id](const QueuedAttempt& queued) { return queued.id == id; };
   std::size_t unsent = std::erase_if(record->unreachable_attempts, is_for_task);
   unsent += std::erase_if(deferred_attempts_, [&](const DeferredAttempt& deferred) {
@@ -163,7 +164,7 @@
 
 bool NodeConnectionPool::CancelAttempt(NodeId node, TaskId id) {
   NodeRecord& record = nodes_[node];
-  if (RemoveUnsent(&record, node, id) > 0) {
+  if (RemoveQueuedAttempts(&record, node, id) > 0) {
     ++counters.attempts_not_sent;
     return false;
   }
@@ -172,26 +173,26 @@
   const Handle handle = sent->second.connection;
   record.sent_attempts.erase(sent);
   NodeConnection* node_connection = connections_.Get(handle);
-  // A connection that ended has taken the attempt with it.
+  // The end of a connection also ends the attempts that were sent on it.
   if (node_connection == nullptr || !node_connection->transport->up()) return true;
-  --node_connection->unanswered;
+  --node_connection->unanswered_attempts;
   ++counters.attempt_cancellations_sent;
   Connection* connection = node_connection->transport.get();
   Writer(connection->out(), Type::kRelease, id).Add(Cause::kEnded);
-  // Written now, so that no second attempt overtakes it. Where the socket takes no more, the connection is
-  // closed, which gives up all that is unanswered on it.
+  // Written immediately, so that the next attempt cannot reach its node first. Where the socket accepts no
+  // more bytes, the connection is closed, which cancels all unanswered attempts on it.
   connection->Flush();
   if (connection->open() && !connection->flushed()) {
     connection->Close();
     OnEnd(*connection, Ending::kReset);
   }
-  Suspect(node, handle, loop_->Now() - timeouts_.dial);
+  SuspectConnection(node, handle, loop_->Now() - timeouts_.dial);
   return true;
 }
 
 void NodeConnectionPool::StopTask(NodeId node, TaskId id) {
   NodeRecord& record = nodes_[node];
-  Handle& sent_on = record.stop_requests[id];  // kept until the node reports the end
+  Handle& sent_on = record.stop_requests[id];  // kept until the node reports the task end
   sent_on = 0;
   if (NodeConnection* node_connection = BestConnection(record)) {
     SendStopRequest(id, &sent_on, node_connection);
--- a/src/nodes/connection_lifecycle.cpp
+++ b/src/nodes/connection_lifecycle.cpp
@@ -1,5 +1,5 @@
-// Dialing connections to nodes, and what happens to everything pending on a connection that is established,
-// fails to be established, or ends.
+// Dialing connections to nodes, and the handling of everything pending on a connection when it is
+// established, fails to be established, or ends.
 #include <algorithm>
 #include <utility>
 
@@ -26,11 +26,11 @@
     return nullptr;
   }
   ++counters.node_dials;
-  NodeConnection fresh;
-  fresh.transport = std::make_unique<Connection>(loop_, record->address, this);
-  fresh.node = node;
-  fresh.dialed_at = loop_->Now();
-  const Handle handle = connections_.Insert(std::move(fresh));
+  NodeConnection new_connection;
+  new_connection.transport = std::make_unique<Connection>(loop_, record->address, this);
+  new_connection.node = node;
+  new_connection.dialed_at = loop_->Now();
+  const Handle handle = connections_.Insert(std::move(new_connection));
   record->connections.push_back(handle);
   NodeConnection* node_connection = connections_.Get(handle);
   node_connection->transport->tag = handle;
@@ -39,7 +39,7 @@
   return node_connection;
 }
 
-// Dials a node with running tasks; tried again later where no descriptor is left.
+// Dials a node with running tasks; retries later if no descriptor is left.
 void NodeConnectionPool::DialOrRetry(NodeId node, NodeRecord* record) {
   if (Dial(node, record) != nullptr) return;
   if (record->address_known && !record->removed) ScheduleRedial(node, record);
@@ -54,7 +54,7 @@
   });
 }
 
-// Keeps a connection established or being dialed wherever a task runs or is to be stopped.
+// Dials the node if tasks run there or have to be stopped, and it has no connection and no scheduled dial.
 void NodeConnectionPool::EnsureConnection(NodeId node, NodeRecord* record) {
   const bool has_none = record->connections.empty() && record->redial_timer == 0;
   if (NeedsConnection(*record) && has_none) DialOrRetry(node, record);
@@ -64,13 +64,13 @@
   const Handle handle = node_connection.transport->tag;
   const bool has_health_check =
       std::ranges::find(record.health_checks, handle, &HealthCheck::connection) != record.health_checks.end();
-  return node_connection.IsDialing() || node_connection.unanswered > 0 || has_health_check ||
+  return node_connection.IsDialing() || node_connection.unanswered_attempts > 0 || has_health_check ||
          handle == reading_connection_;
 }
 
-// Closes the unused connection that was idle for longest. One to a node with running tasks is closed only
-// where there is no other: a task end that is missed by this is reported again on the next connection. False
-// where all are in use.
+// Closes the unused connection that has been idle for longest. Connections to nodes with running tasks are
+// closed only where there is no other candidate; the node reports a task end that is missed by this again on
+// the next connection. False if all connections are in use.
 bool NodeConnectionPool::EvictIdleConnection() {
   Handle victim = 0;
   std::pair<bool, Time> victim_rank;
@@ -91,7 +91,7 @@
   return true;
 }
 
-// Closes connections that must not be written to any more and are not in use.
+// Closes connections that must not be written to any more and have nothing pending.
 void NodeConnectionPool::CloseUnusable(NodeRecord* record) {
   for (const Handle handle : std::vector<Handle>(record->connections)) {
     const NodeConnection* node_connection = connections_.Get(handle);
@@ -125,8 +125,8 @@
     if (!is_sent) SendHealthCheck(&health_check, node_connection);
   }
   for (auto& [id, sent_on] : record.stop_requests) {
-    const NodeConnection* before = connections_.Get(sent_on);
-    if (before == nullptr || before->IsSuspect()) SendStopRequest(id, &sent_on, node_connection);
+    const NodeConnection* previous = connections_.Get(sent_on);
+    if (previous == nullptr || previous->IsSuspect()) SendStopRequest(id, &sent_on, node_connection);
   }
 }
 
@@ -158,33 +158,33 @@
   if (NeedsConnection(*record) && !record->removed && must_redial) ScheduleRedial(node, record);
 }
 
-// Whether a failed dial proves that the process has died. Only where a process has been can a dial be
-// refused, and a dead one is silent on its other connections too. Connections that were silent since the dial
-// become suspect: the node may be cut off from the network, and then they would take requests without an
-// answer.
+// Whether a failed dial proves that the node's process has died. A refused dial shows that nothing listens at
+// the address, and a dead process is silent on its other connections too. Connections without traffic since
+// the dial become suspect: the node may be disconnected from the network, and then requests sent on them
+// would go unanswered.
 bool NodeConnectionPool::DetectProcessDeath(NodeId node, NodeRecord* record, Time dialed_at, bool refused) {
   failure_detection::FailureDetector& detector = record->failure_detector;
   bool dead = refused && (detector.RecordRefusedDial(dialed_at) || record->running_tasks.empty());
   const bool is_watched = std::ranges::find(leaving_nodes_, node) != leaving_nodes_.end();
   if (detector.leaving() && !is_watched) leaving_nodes_.push_back(node);
-  for (const Handle each : record->connections) {
-    NodeConnection* other = connections_.Get(each);
+  for (const Handle handle : record->connections) {
+    NodeConnection* other = connections_.Get(handle);
     if (other->IsDialing()) continue;
     const bool was_suspect = other->IsSuspect();
-    const bool heard_since = other->last_heard >= dialed_at;
-    if (refused && detector.leaving() && !heard_since && !was_suspect) {
-      // A leaving node may have stopped listening while it lives: its established connections tell.
+    const bool received_since_dial = other->last_received_at >= dialed_at;
+    if (refused && detector.leaving() && !received_since_dial && !was_suspect) {
+      // A leaving node may stop listening before its process ends: check on an established connection.
       dead = false;
       if (other->transport->up()) CheckProcessLiveness(node, record, other);
       continue;
     }
-    if (!heard_since) other->Apply(ConnectionEvent::kUnanswered);
-    if (heard_since || !was_suspect) dead = false;
+    if (!received_since_dial) other->Apply(ConnectionEvent::kUnanswered);
+    if (received_since_dial || !was_suspect) dead = false;
   }
   return dead;
 }
 
-// Sends what was queued on a failed dial on another connection, or reports that there is none.
+// Sends the attempts that were queued on a failed dial on another connection, or reports them as not sent.
 void NodeConnectionPool::RerouteAttempts(NodeId node, NodeRecord* record,
                                          const std::vector<QueuedAttempt>& undelivered) {
   std::vector<QueuedAttempt> unsent;
@@ -199,7 +199,7 @@
   for (const QueuedAttempt& queued : unsent) ReportNoConnection(node, queued);
 }
 
-// Fails the attempts and health checks that have no connection to be sent on, as not sent.
+// Reports the attempts and health checks that have no connection to be sent on as not sent.
 void NodeConnectionPool::FailUnreachable(NodeId node) {
   NodeRecord& record = nodes_[node];
   const std::vector<QueuedAttempt> attempts = std::exchange(record.unreachable_attempts, {});
@@ -244,8 +244,8 @@
                             {Outcome::kAborted, Outcome::kAborted, EndReason::kUnspecified, {}});
   }
   record = &nodes_[node];
-  const bool must_resend = MarkUnsent(record, handle);
-  // A reset may be the sign of a process that died: only another dial tells.
+  const bool must_resend = MarkForResend(record, handle);
+  // A reset may mean that the process died; another dial shows whether it did.
   const bool must_dial = NeedsConnection(*record) && (reset || record->connections.empty());
   if ((must_dial || must_resend) && DialingConnection(*record) == nullptr) {
     if (Dial(node, record) == nullptr) FailUnreachable(node);
@@ -264,8 +264,9 @@
   return removed;
 }
 
-// Marks the health checks and stop requests of a connection as to be sent on another. False: there were none.
-bool NodeConnectionPool::MarkUnsent(NodeRecord* record, Handle handle) {
+// Marks the health checks and stop requests sent on a connection as not sent, so that they are sent on
+// another. False if there were none.
+bool NodeConnectionPool::MarkForResend(NodeRecord* record, Handle handle) {
   bool any = false;
   for (HealthCheck& health_check : record->health_checks) {
     if (health_check.connection != handle) continue;
--- a/src/nodes/connection_state.h
+++ b/src/nodes/connection_state.h
@@ -1,12 +1,12 @@
-// States of one connection to a node, and the only place that decides how one follows another. Values in,
-// values out; owned by NodeConnectionPool, whose loop thread is the only caller.
+// State machine of one connection to a node. NextState is a pure function and the only transition function;
+// NodeConnectionPool stores the states and calls it on its loop thread only.
 //
 //               kEstablished                kUnanswered
 //   kDialing --------------> kResponsive --------------> kSuspect
 //                                 ^                          |
 //                                 +------ kDataReceived -----+
 //
-// The end of a connection is no state: the pool drops its record then.
+// A connection that has ended has no state: the pool erases its record.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,17 @@
 
 enum class ConnectionState : std::uint8_t {
   kDialing,     // the TCP handshake has not completed; attempts are queued on it
-  kResponsive,  // established, and nothing sent on it has gone unanswered since data came
-  kSuspect      // established, but something went unanswered and nothing was received since
+  kResponsive,  // established, and nothing has gone unanswered since data was last received
+  kSuspect      // established, but something went unanswered and no data was received since
 };
 
 enum class ConnectionEvent : std::uint8_t {
   kEstablished,   // the handshake has completed
-  kDataReceived,  // any bytes came from the node
-  kUnanswered     // a health check, a cancelled attempt or a later dial brought no sign of the node
+  kDataReceived,  // bytes were received from the node
+  kUnanswered     // nothing was received after a health check, a cancelled attempt or a later dial
 };
 
-// The state after `event`. A dial has a timeout of its own, so that kUnanswered does not change kDialing.
+// The state after `event`. kUnanswered does not change kDialing, since a dial has a time-out of its own.
 constexpr ConnectionState NextState(ConnectionState state, ConnectionEvent event) {
   switch (event) {
     case ConnectionEvent::kEstablished:
--- a/src/nodes/descriptor_budget.cpp
+++ b/src/nodes/descriptor_budget.cpp
@@ -14,10 +14,10 @@
 }
 
 std::size_t DescriptorBudget::MaxConnections() const {
-  const std::size_t all = static_cast<std::size_t>(std::max(limit_ - kSpareDescriptors, 1));
-  const std::size_t unused = all - std::min(all, client_count_());
+  const std::size_t usable = static_cast<std::size_t>(std::max(limit_ - kSpareDescriptors, 1));
+  const std::size_t unused = usable - std::min(usable, client_count_());
   const std::size_t guaranteed_to_clients = static_cast<std::size_t>(limit_) / 3;
-  return std::max(Reserved(), std::min(unused, all - std::min(all, guaranteed_to_clients)));
+  return std::max(Reserved(), std::min(unused, usable - std::min(usable, guaranteed_to_clients)));
 }
 
 }  // namespace cluster_manager
--- a/src/nodes/descriptor_budget.h
+++ b/src/nodes/descriptor_budget.h
@@ -1,5 +1,5 @@
-// How many file descriptors connections to nodes may take. Clients and nodes share the descriptors of the
-// process: a fixed part is reserved for nodes, and descriptors that clients leave unused may serve nodes too.
+// Limit on the file descriptors held by connections to nodes. Clients and nodes share the descriptors of the
+// process: a fixed part is reserved for nodes, and nodes may also use descriptors that clients leave unused.
 // Owned by NodeConnectionPool and used on its loop thread only.
 #pragma once
 
@@ -9,19 +9,20 @@
 
 namespace cluster_manager {
 
+// Computes the limits from the total and from the descriptors that clients hold at the moment.
 class DescriptorBudget {
  public:
-  // `limit`: descriptors that clients and nodes may hold together.
+  // `limit`: maximum number of descriptors that clients and nodes hold together.
   explicit DescriptorBudget(int limit) : limit_(limit) {}
 
   void SetLimit(int limit) { limit_ = limit; }
-  // `count` returns the descriptors that clients hold now; called on each MaxConnections().
+  // `count` returns the number of descriptors that clients hold now; it is called by MaxConnections().
   void SetClientCount(std::function<std::size_t()> count) { client_count_ = std::move(count); }
 
-  // Descriptors that clients never get; at least 1.
+  // Number of descriptors reserved for nodes; at least 1.
   std::size_t Reserved() const;
-  // The most connections to nodes at this moment, at least Reserved(). Unused client descriptors count as far
-  // as clients can still reach the third of the limit that they are guaranteed: without that third the
+  // Current limit on connections to nodes, at least Reserved(). Includes descriptors that clients leave
+  // unused, except those of the third of the limit that is guaranteed to clients: without this guarantee the
   // process could run out of descriptors and lose the discovery stream.
   std::size_t MaxConnections() const;
 
--- a/src/nodes/health_checks.cpp
+++ b/src/nodes/health_checks.cpp
@@ -1,4 +1,5 @@
-// Health checks, suspect connections, and nodes that are leaving and may have stopped without a sign.
+// Health checks, suspect connections, and the probing of leaving nodes, whose processes may stop without
+// closing their connections.
 #include <algorithm>
 #include <utility>
 
@@ -25,12 +26,12 @@
 }
 
 void NodeConnectionPool::CheckReachability(NodeId node) {
-  if (HasHealthCheck(nodes_[node], HealthCheckPurpose::kSiteReachability)) return;
+  if (HasHealthCheck(nodes_[node], HealthCheckPurpose::kZoneReachability)) return;
   ++counters.zone_reachability_checks;
-  CheckHealth(node, HealthCheckPurpose::kSiteReachability);
+  CheckHealth(node, HealthCheckPurpose::kZoneReachability);
 }
 
-// Sends a health check on a responsive connection; else on the next one that is established.
+// Sends a health check on a responsive connection, otherwise on the next one to be established.
 void NodeConnectionPool::CheckHealth(NodeId node, HealthCheckPurpose purpose) {
   NodeRecord& record = nodes_[node];
   HealthCheck* health_check = StartHealthCheck(node, &record, purpose);
@@ -45,8 +46,8 @@
 NodeConnectionPool::HealthCheck* NodeConnectionPool::StartHealthCheck(NodeId node, NodeRecord* record,
                                                                       HealthCheckPurpose purpose) {
   const TaskId id = next_health_check_id_ += 2;
-  // The plan for lost sites asks many nodes at once and must not wait as long as for a single node.
-  const bool is_short = purpose == HealthCheckPurpose::kSiteReachability;
+  // Zone failover checks many nodes at once and has to conclude sooner than a check of a single node.
+  const bool is_short = purpose == HealthCheckPurpose::kZoneReachability;
   const Time timeout = is_short ? timeouts_.dial : 2 * timeouts_.dial;
   const Handle timer =
       loop_->After(timeout, [this, node, id] { FinishHealthCheck(node, id, Outcome::kTimedOut, {}); });
@@ -68,20 +69,20 @@
   record.health_checks.erase(pending);
   loop_->Cancel(finished.timer);
   if (outcome == Outcome::kTimedOut) {
-    Log("node %u: a health check went unanswered", node);
-    record.failure_detector.RecordUnanswered(finished.asked);
-    Suspect(node, finished.connection, finished.asked);
+    Log("node %u: health check timed out", node);
+    record.failure_detector.RecordUnanswered(finished.requested_at);
+    SuspectConnection(node, finished.connection, finished.requested_at);
   }
-  const Time took = loop_->Now() - finished.asked;
+  const Time duration = loop_->Now() - finished.requested_at;
   switch (finished.purpose) {
     case HealthCheckPurpose::kScheduler:
-      events_->OnHealthCheckResult(node, outcome, took, report);
+      events_->OnHealthCheckResult(node, outcome, duration, report);
       break;
-    case HealthCheckPurpose::kSiteReachability:
-      events_->OnReachabilityResult(node, outcome, took);
+    case HealthCheckPurpose::kZoneReachability:
+      events_->OnReachabilityResult(node, outcome, duration);
       break;
     case HealthCheckPurpose::kProcessLiveness:
-      break;  // its outcome counts for the failure detector only
+      break;  // used by the failure detector only
   }
 }
 
@@ -93,30 +94,31 @@
   SendHealthCheck(StartHealthCheck(node, record, HealthCheckPurpose::kProcessLiveness), node_connection);
 }
 
-// Runs periodically. A leaving node may be switched off without a sign, and the endpoint list tells that
-// late: where tasks run on it, it is probed until it is heard, removed, or silent for too long.
+// Runs periodically. A leaving node may be switched off without closing its connections, and the endpoint
+// list may show that late. While tasks run on it, it is probed until it answers, is removed from the list, or
+// has been silent long enough to be presumed stopped.
 void NodeConnectionPool::CheckLeavingNodes() {
   const Time now = loop_->Now();
   std::vector<NodeId> to_probe;
-  std::vector<NodeId> stopped;
+  std::vector<NodeId> presumed_stopped;
   std::erase_if(leaving_nodes_, [&](NodeId node) {
     const auto it = nodes_.find(node);
     if (it == nodes_.end() || !it->second.failure_detector.leaving()) return true;
     const NodeRecord& record = it->second;
     if (record.running_tasks.empty()) return false;
     if (record.failure_detector.IsPresumedStopped(now)) {
-      stopped.push_back(node);
+      presumed_stopped.push_back(node);
     } else if (record.failure_detector.ShouldProbe(now)) {
       to_probe.push_back(node);
     }
     return false;
   });
   for (const NodeId node : to_probe) ProbeLeavingNode(node, now);
-  for (const NodeId node : stopped) events_->OnNodePresumedStopped(node);
+  for (const NodeId node : presumed_stopped) events_->OnNodePresumedStopped(node);
   loop_->After(kLeavingCheckInterval, [this] { CheckLeavingNodes(); });
 }
 
-// A health check on a responsive connection, else a dial.
+// Sends a health check on a responsive connection, or dials if there is none.
 void NodeConnectionPool::ProbeLeavingNode(NodeId node, Time now) {
   NodeRecord& record = nodes_[node];
   NodeConnection* best = BestConnection(record);
@@ -132,11 +134,12 @@
   return nodes_[node].failure_detector.GracePeriodEnd(loop_->Now());
 }
 
-// Something sent at `since` went unanswered. Where nothing was received on that connection since, it may be
-// broken without a reset: another one is dialed, and what the node could not deliver arrives there.
-void NodeConnectionPool::Suspect(NodeId node, Handle handle, Time since) {
+// To be called when something sent on a connection at `since` went unanswered. If nothing has been received
+// on it since then, it may be broken without a reset. It becomes suspect and another one is dialed, on which
+// the node can deliver its pending messages.
+void NodeConnectionPool::SuspectConnection(NodeId node, Handle handle, Time since) {
   NodeConnection* node_connection = connections_.Get(handle);
-  if (node_connection == nullptr || node_connection->last_heard >= since) return;
+  if (node_connection == nullptr || node_connection->last_received_at >= since) return;
   node_connection->Apply(ConnectionEvent::kUnanswered);
   NodeRecord& record = nodes_[node];
   const NodeConnection* best = BestConnection(record);
--- a/src/nodes/message_handling.cpp
+++ b/src/nodes/message_handling.cpp
@@ -1,4 +1,4 @@
-// Messages from nodes: what each means for the attempts, tasks and health checks that are pending there.
+// Handling of messages from nodes, and their effect on pending attempts, running tasks and health checks.
 #include <algorithm>
 #include <utility>
 
@@ -16,7 +16,7 @@
 using protocol::Type;
 using scheduling::Outcome;
 
-// For an incomplete message: its remaining bytes follow at once, or never.
+// Time limit for the rest of a message whose first bytes have arrived. A working node sends it at once.
 constexpr Time kUnfinishedMessageTimeout = 400 * kMs;
 
 }  // namespace
@@ -31,29 +31,29 @@
   bool malformed = false;
   bool unexpected = false;
   reading_connection_ = handle;
-  const std::size_t taken = protocol::DecodeAll(data, &malformed, [&](const Message& message) {
+  const std::size_t consumed = protocol::DecodeAll(data, &malformed, [&](const Message& message) {
     unexpected = !HandleMessage(node, connection, message);
     return !unexpected && connection.open();
   });
   reading_connection_ = 0;
-  if (!connection.open()) return taken;
+  if (!connection.open()) return consumed;
   if (malformed || unexpected) {
     ++counters.malformed;
-    Log("node %u: unreadable message, closing the connection", node);
+    Log("node %u: malformed or unexpected message, closing the connection", node);
     connection.Close();
     OnEnd(connection, Ending::kReset);
-    return taken;
+    return consumed;
   }
   node_connection = connections_.Get(handle);
-  if (taken < data.size() && node_connection != nullptr && node_connection->timer == 0) {
+  if (consumed < data.size() && node_connection != nullptr && node_connection->timer == 0) {
     node_connection->timer =
         loop_->After(kUnfinishedMessageTimeout, [this, handle] { CheckUnfinishedMessage(handle); });
   }
-  return taken;
+  return consumed;
 }
 
-// Closes a connection whose message stays incomplete. Whatever follows there would be read as a part of that
-// message, so that every attempt on the connection would wait until its deadline.
+// Closes a connection on which a message has been incomplete for too long. Any further bytes would be read as
+// part of that message, so that every attempt on the connection would wait until its deadline.
 void NodeConnectionPool::CheckUnfinishedMessage(Handle handle) {
   NodeConnection* node_connection = connections_.Get(handle);
   if (node_connection == nullptr) return;
@@ -67,18 +67,18 @@
     return;
   }
   ++counters.unfinished;
-  Log("node %u: a message stays incomplete, closing the connection", node_connection->node);
+  Log("node %u: message incomplete after the time limit, closing the connection", node_connection->node);
   connection.Close();
   OnEnd(connection, Ending::kReset);
 }
 
-// Any sign of the node counts for its failure detector. Orphaned tasks, which were reported as ended while
-// the node was silent, are stopped there now.
+// Records received bytes in the node's failure detector, and stops the orphaned tasks of the node, which were
+// reported as ended while it was silent.
 void NodeConnectionPool::RecordTraffic(NodeId node, NodeRecord* record, NodeConnection* node_connection) {
-  node_connection->last_heard = loop_->Now();
-  record->failure_detector.RecordTraffic(node_connection->last_heard);
+  node_connection->last_received_at = loop_->Now();
+  record->failure_detector.RecordTraffic(node_connection->last_received_at);
   if (record->orphaned_tasks.empty()) return;
-  Log("node %u: heard again, stopping %zu orphaned tasks", node, record->orphaned_tasks.size());
+  Log("node %u: data received again, stopping %zu orphaned tasks", node, record->orphaned_tasks.size());
   for (const TaskId id : std::exchange(record->orphaned_tasks, {})) SendOrphanStop(id, node_connection);
 }
 
@@ -90,8 +90,8 @@
   switch (message.type) {
     case Type::kTaskAccepted:
       if (!MatchSentAttempt(&record, connection.tag, message, &attempt)) return true;
-      // Where no attempt is unanswered the id is 0, which is no attempt's.
-      HandleAnswer(node, attempt.value_or(0), message);
+      // 0 is not the id of any attempt.
+      HandleAcceptance(node, attempt.value_or(0), message);
       return true;
     case Type::kRelease:
       if (MatchSentAttempt(&record, connection.tag, message, &attempt)) HandleRelease(node, attempt, message);
@@ -105,7 +105,7 @@
     case Type::kProgress:
     case Type::kReleaseConfirmed:
     case Type::kHealthCheck:
-      return true;  // allowed, and without effect here
+      return true;  // valid, but ignored
     default:
       return false;
   }
@@ -118,21 +118,21 @@
     if (message.type == Type::kRelease) ++counters.node_task_ends;
     return true;
   }
-  // A request that is still in the write queue, or that was sent on another connection, cannot be what this
-  // answers: it is a duplicate that belongs to an earlier attempt.
-  const bool still_queued = sent->second.loop_turn == loop_->turn();
+  // A message cannot refer to a request that is still in the write queue or was sent on another connection:
+  // it is a duplicate that belongs to an earlier attempt.
+  const bool still_queued = sent->second.loop_iteration == loop_->turn();
   if (still_queued || sent->second.connection != handle) {
     ++counters.node_replies_unmatched;
     return false;
   }
   *attempt = sent->second.attempt;
-  if (NodeConnection* node_connection = connections_.Get(handle)) --node_connection->unanswered;
+  if (NodeConnection* node_connection = connections_.Get(handle)) --node_connection->unanswered_attempts;
   record->sent_attempts.erase(sent);
   if (message.type == Type::kRelease) ++counters.node_rejections;
   return true;
 }
 
-void NodeConnectionPool::HandleAnswer(NodeId node, AttemptId attempt, const Message& message) {
+void NodeConnectionPool::HandleAcceptance(NodeId node, AttemptId attempt, const Message& message) {
   events_->OnAttemptAccepted(node, message.task, attempt, message.Get(Code::kDescription));
 }
 
--- a/src/nodes/node_connection_pool.cpp
+++ b/src/nodes/node_connection_pool.cpp
@@ -1,4 +1,4 @@
-// The node records, from the endpoint list, and the tasks that run on each node.
+// Node records, which follow the endpoint list, and the running tasks of each node.
 #include "nodes/node_connection_pool.h"
 
 #include <algorithm>
@@ -45,9 +45,9 @@
 void NodeConnectionPool::UpdateNode(const ListedNode& node) {
   const NodeId id = node.entry.node;
   NodeRecord& record = nodes_[id];
-  const sockaddr_in before = record.address;
+  const sockaddr_in previous_address = record.address;
   record.started_at = node.entry.started_at;
-  // An endpoint that cannot be parsed leaves the known address as it is.
+  // If the endpoint cannot be parsed, the known address is kept.
   if (sockaddr_in address{}; ParseAddress(node.endpoint, &address)) {
     record.address = address;
     record.address_known = true;
@@ -58,12 +58,12 @@
   record.failure_detector.SetListedState(ListedStateOf(node.entry.state), loop_->Now());
   if (record.failure_detector.leaving() && !was_leaving) leaving_nodes_.push_back(id);
   if (record.removed) record.orphaned_tasks.clear();
-  RecordAddress(id, before);
+  RecordAddress(id, previous_address);
   EnsureConnection(id, &record);
 }
 
-// Whether nothing is pending for the node, no task runs there, and the endpoint list has it no more.
-bool NodeConnectionPool::IsForgettable(const NodeRecord& record) const {
+// Whether nothing is pending for the node, no task runs on it, and it is not in the endpoint list any more.
+bool NodeConnectionPool::CanForget(const NodeRecord& record) const {
   if (NeedsConnection(record) || (record.address_known && !record.removed)) return false;
   if (!record.sent_attempts.empty() || !record.health_checks.empty()) return false;
   if (!record.unreachable_attempts.empty()) return false;
@@ -73,13 +73,14 @@
   });
 }
 
-// Runs periodically, so that tables don't grow with every node that was ever listed.
+// Runs periodically and erases the records of removed nodes, so that tables do not grow with every node that
+// was ever listed.
 void NodeConnectionPool::ForgetRemovedNodes() {
   for (auto it = nodes_.begin(); it != nodes_.end();) {
     NodeRecord& record = it->second;
     Tighten(&record.sent_attempts);
     Tighten(&record.running_tasks);
-    if (!IsForgettable(record)) {
+    if (!CanForget(record)) {
       ++it;
       continue;
     }
@@ -99,11 +100,11 @@
     record.stop_requests.erase(id);
     return;
   }
-  std::erase(record.orphaned_tasks, id);  // its client has submitted it again: it must not be stopped
-  const NodeConnection* answered_on = connections_.Get(reading_connection_);
+  std::erase(record.orphaned_tasks, id);  // its client has claimed it again: it must not be stopped
+  const NodeConnection* accepted_on = connections_.Get(reading_connection_);
   Placement placement;
-  if (answered_on != nullptr && answered_on->node == node) {
-    placement = {answered_on->incarnation, answered_on->dialed_at};
+  if (accepted_on != nullptr && accepted_on->node == node) {
+    placement = {accepted_on->incarnation, accepted_on->dialed_at};
   }
   record.running_tasks[id] = placement;
   EnsureConnection(node, &record);
--- a/src/nodes/node_connection_pool.h
+++ b/src/nodes/node_connection_pool.h
@@ -1,10 +1,10 @@
-// Connections to the nodes, and everything that is under way on them: task requests, health checks, stop
-// requests, and the connection that is kept open to each node with running tasks.
+// Connections to the nodes, and everything that is pending on them: task requests, health checks and stop
+// requests. Keeps a connection open to each node with running tasks.
 //
 // The pool implements NodePort for the dispatcher and reports to it through NodeEvents. It owns one
 // NodeRecord per node and one NodeConnection per TCP connection. It runs on the thread of its event loop
 // only. Bounds: DescriptorBudget limits the connections in total, kMaxConnectionsPerNode those to one node;
-// the record of a removed node is dropped once nothing is pending for it (ForgetRemovedNodes).
+// the record of a removed node is erased once nothing is pending for it (ForgetRemovedNodes).
 //
 //   node_connection_pool.cpp   the node records, running tasks
 //   connection_lifecycle.cpp   dialing, established and ended connections
@@ -36,32 +36,34 @@
 
 namespace cluster_manager {
 
+// Time-outs from the settings in force.
 struct NodeConnectionTimeouts {
-  Time dial;       // a connection that is not established by then is given up; nanoseconds
-  Time keepalive;  // nodes close a connection that was idle for so long; nanoseconds
+  Time dial;       // for establishing a connection; nanoseconds
+  Time keepalive;  // nodes close connections that have been idle for this long; nanoseconds
 };
 
+// All methods are called on the thread of the event loop.
 class NodeConnectionPool final : public NodePort, public Connection::Handler {
  public:
-  // `descriptor_limit`: see DescriptorBudget. `seed`: where ids of health checks start. `loop` and `events`
-  // must outlive the pool.
+  // `descriptor_limit`: see DescriptorBudget. `seed`: the first id of health checks is derived from it.
+  // `loop` and `events` must outlive the pool.
   NodeConnectionPool(EventLoop* loop, NodeConnectionTimeouts timeouts, int descriptor_limit,
                      std::uint64_t seed, NodeEvents* events);
 
   void SetTimeouts(NodeConnectionTimeouts timeouts) { timeouts_ = timeouts; }
   void SetDescriptorLimit(int limit) { descriptors_.SetLimit(limit); }
-  // How many descriptors clients hold: what they leave unused may serve connections to nodes.
+  // `count` returns the number of descriptors that clients hold; see DescriptorBudget::SetClientCount.
   void SetClientDescriptors(std::function<std::size_t()> count) {
     descriptors_.SetClientCount(std::move(count));
   }
-  std::size_t size() const { return nodes_.size(); }  // node records
+  std::size_t node_count() const { return nodes_.size(); }  // node records
   std::size_t connection_count() const { return connections_.size(); }
-  std::size_t unanswered_attempt_count() const;  // task requests sent and not answered
+  std::size_t unanswered_attempt_count() const;  // sent and not answered, over all nodes
 
   // NodePort; see there.
   void UpdateNode(const ListedNode& node) override;
   void StartAttempt(NodeId node, TaskId id, AttemptId attempt, const ForwardedPayload& payload,
-                    Time until) override;
+                    Time deadline) override;
   bool IsQueued(NodeId node, TaskId id) const override;
   bool CancelAttempt(NodeId node, TaskId id) override;
   void StopTask(NodeId node, TaskId id) override;
@@ -77,40 +79,40 @@
     TaskId id;
     AttemptId attempt;
     ForwardedPayload payload;
-    Time until;  // its deadline at the node
+    Time deadline;  // when the dispatcher stops waiting for the reply
   };
-  struct DeferredAttempt {  // CheckAttemptAllowed answered kAskAgain: the client's connection is read first
+  struct DeferredAttempt {  // CheckAttemptAllowed returned kAskAgain: the client's connection is read first
     NodeId node;
     QueuedAttempt queued;
   };
   struct SentAttempt {
     AttemptId attempt;
     Handle connection;
-    std::uint64_t loop_turn;  // the request leaves at the end of that turn
+    std::uint64_t loop_iteration;  // the request is sent to the kernel at the end of it
   };
-  enum class HealthCheckPurpose { kScheduler, kProcessLiveness, kSiteReachability };
+  enum class HealthCheckPurpose { kScheduler, kProcessLiveness, kZoneReachability };
   struct HealthCheck {
     TaskId id;
-    Time asked;
+    Time requested_at;
     Handle timer;
-    Handle connection;  // where it was sent, 0: not yet
+    Handle connection;  // that it was sent on; 0: not sent yet
     HealthCheckPurpose purpose;
   };
-  // In which incarnation of the node's process a task was placed. A count of 0 with no dial time: unknown,
-  // another cluster manager placed it.
+  // The incarnation of the node's process in which a task was placed. Both fields are 0 where it is unknown,
+  // since another cluster manager placed the task.
   struct Placement {
     int incarnation = 0;
-    Time dialed_at = 0;  // when the connection was dialed that the answer came on
+    Time dialed_at = 0;  // of the connection on which the task was accepted
   };
   struct NodeConnection {
     std::unique_ptr<Connection> transport;
     NodeId node = 0;
     ConnectionState state = ConnectionState::kDialing;
     Time dialed_at = 0;
-    Time last_heard = 0;         // 0 while dialing
-    int incarnation = 0;         // of the process at that address, see NodeRecord::incarnations_ended
-    Handle timer = 0;            // of the dial; then of a message that is incomplete
-    std::size_t unanswered = 0;  // task requests sent on it and not answered
+    Time last_received_at = 0;                   // 0 while dialing
+    int incarnation = 0;                         // of the node's process, see NodeRecord::incarnations_ended
+    Handle timer = 0;                            // of the dial; later of an incomplete message
+    std::size_t unanswered_attempts = 0;         // task requests sent on it and not answered
     std::vector<QueuedAttempt> queued_attempts;  // sent once it is established
 
     bool IsDialing() const { return state == ConnectionState::kDialing; }
@@ -120,21 +122,22 @@
   struct NodeRecord {
     sockaddr_in address{};
     bool address_known = false;
-    bool removed = false;        // from the endpoint list
-    Time started_at = 0;         // as the endpoint list has it, 0: not stated
-    int incarnations_ended = 0;  // processes seen to end at that address, by resets and refused dials
+    bool removed = false;  // from the endpoint list
+    Time started_at = 0;   // according to the endpoint list; 0: not stated
+    // Processes at this address that have ended, as seen by resets and refused dials.
+    int incarnations_ended = 0;
     bool incarnation_may_have_ended = false;  // the next connection counts as one to a new process
-    std::optional<NodeId> address_successor;  // this node is removed, and that one has its address
-    std::vector<Handle> connections;          // established, or being dialed
+    std::optional<NodeId> address_successor;  // the node that has the address of this removed node
+    std::vector<Handle> connections;          // established or being dialed
     Handle redial_timer = 0;
-    std::vector<QueuedAttempt> unreachable_attempts;  // no connection can be made; failed in the next turn
-    NumberMap<TaskId, SentAttempt> sent_attempts;     // not answered yet
+    std::vector<QueuedAttempt> unreachable_attempts;  // to be failed in the next loop iteration
+    NumberMap<TaskId, SentAttempt> sent_attempts;     // without an answer so far
     NumberMap<TaskId, Placement> running_tasks;
-    // Tasks that the node was asked to stop, and on which connection; 0: not sent yet.
+    // The tasks to be stopped, with the connection that the stop request was sent on; 0: not sent yet.
     std::unordered_map<TaskId, Handle> stop_requests;
     std::vector<HealthCheck> health_checks;
     failure_detection::FailureDetector failure_detector;
-    // Reported as ended while the node was silent; stopped there if it is heard again.
+    // Reported as ended while the node was silent; to be stopped once a message arrives from it.
     std::vector<TaskId> orphaned_tasks;
   };
 
@@ -144,27 +147,29 @@
   void OnEnd(Connection& connection, Ending ending) override;
 
   // Messages from nodes.
-  // False where nodes send no such message: the connection is closed.
+
+  // False if the message is not valid from a node: the connection is closed.
   bool HandleMessage(NodeId node, Connection& connection, const protocol::Message& message);
-  void HandleAnswer(NodeId node, AttemptId attempt, const protocol::Message& message);
+  void HandleAcceptance(NodeId node, AttemptId attempt, const protocol::Message& message);
   void HandleRelease(NodeId node, std::optional<AttemptId> attempt, const protocol::Message& message);
   void HandleTaskReport(NodeId node, const protocol::Message& message);
   void HandleHealthCheckResult(NodeId node, const protocol::Message& message);
-  // Sets `attempt` to the one that an answer or release ends; leaves it empty where no attempt for the task
-  // is unanswered. False for a duplicate of what ended an earlier attempt: it is to be ignored.
+  // Sets `attempt` to the attempt that is ended by an answer or release; leaves it empty if no attempt for
+  // the task is unanswered. False for a duplicate of a message that ended an earlier attempt, to be ignored.
   bool MatchSentAttempt(NodeRecord* record, Handle handle, const protocol::Message& message,
                         std::optional<AttemptId>* attempt);
   void CheckUnfinishedMessage(Handle handle);
   void RecordTraffic(NodeId node, NodeRecord* record, NodeConnection* node_connection);
 
-  // Connections. Dial returns null where the address is unknown or no descriptor is left.
+  // Connections. Dial returns null where the address is unknown, the node was removed, or no descriptor is
+  // left.
   NodeConnection* Dial(NodeId node, NodeRecord* record);
   void DialOrRetry(NodeId node, NodeRecord* record);
   void ScheduleRedial(NodeId node, NodeRecord* record);
   void DialFailed(Handle handle, Ending ending);
   bool DetectProcessDeath(NodeId node, NodeRecord* record, Time dialed_at, bool refused);
   static std::vector<std::pair<TaskId, AttemptId>> RemoveSentAttempts(NodeRecord* record, Handle handle);
-  static bool MarkUnsent(NodeRecord* record, Handle handle);
+  static bool MarkForResend(NodeRecord* record, Handle handle);
   void RemoveConnection(Handle handle);
   bool EvictIdleConnection();
   void CloseUnusable(NodeRecord* record);
@@ -180,10 +185,10 @@
   // Attempts and stop requests.
   void AssignConnection(NodeId node, const QueuedAttempt& queued);
   void SendTaskRequest(NodeRecord* record, NodeConnection* node_connection, const QueuedAttempt& queued);
-  void Defer(NodeId node, const QueuedAttempt& queued);
-  void ResumeDeferred();
+  void DeferAttempt(NodeId node, const QueuedAttempt& queued);
+  void ResumeDeferredAttempts();
   void RerouteAttempts(NodeId node, NodeRecord* record, const std::vector<QueuedAttempt>& undelivered);
-  std::size_t RemoveUnsent(NodeRecord* record, NodeId node, TaskId id);
+  std::size_t RemoveQueuedAttempts(NodeRecord* record, NodeId node, TaskId id);
   void FailUnreachable(NodeId node);
   void ReportNoConnection(NodeId node, const QueuedAttempt& queued);
   static void SendStopRequest(TaskId id, Handle* sent_on, NodeConnection* node_connection);
@@ -196,13 +201,13 @@
   static void SendHealthCheck(HealthCheck* health_check, NodeConnection* node_connection);
   void FinishHealthCheck(NodeId node, TaskId id, scheduling::Outcome outcome, scheduling::LoadReport report);
   void CheckProcessLiveness(NodeId node, NodeRecord* record, NodeConnection* node_connection);
-  void Suspect(NodeId node, Handle handle, Time since);
+  void SuspectConnection(NodeId node, Handle handle, Time since);
   void CheckLeavingNodes();
   void ProbeLeavingNode(NodeId node, Time now);
 
   // Node records and addresses.
   void ForgetRemovedNodes();
-  bool IsForgettable(const NodeRecord& record) const;
+  bool CanForget(const NodeRecord& record) const;
   static std::uint64_t AddressKey(const sockaddr_in& address);
   void RecordAddress(NodeId node, const sockaddr_in& before);
   void TransferToSuccessor(NodeId node, NodeId successor);
@@ -224,9 +229,9 @@
   std::unordered_map<NodeId, NodeRecord> nodes_;
   SlotTable<NodeConnection> connections_;
   std::unordered_map<std::uint64_t, NodeId> last_listed_at_;  // by AddressKey
-  Handle reading_connection_ = 0;                             // whose messages are being handled, or 0
+  Handle reading_connection_ = 0;                             // whose messages are being handled; 0: none
   std::vector<DeferredAttempt> deferred_attempts_;
-  bool resume_scheduled_ = false;      // a call of ResumeDeferred is due
+  bool resume_scheduled_ = false;      // a call of ResumeDeferredAttempts is scheduled
   std::vector<NodeId> leaving_nodes_;  // watched by CheckLeavingNodes
 };
 
--- a/src/nodes/reply_decoder.cpp
+++ b/src/nodes/reply_decoder.cpp
@@ -17,7 +17,8 @@
 using scheduling::Outcome;
 using scheduling::TaskReportKind;
 
-Outcome OutcomeBeforeAnswer(int cause) {
+// The outcome of an attempt that the node did not accept.
+Outcome OutcomeBeforeAcceptance(int cause) {
   switch (static_cast<Cause>(cause)) {
     case Cause::kEnded:
       return Outcome::kOk;
@@ -32,7 +33,8 @@
   }
 }
 
-Outcome OutcomeAfterAnswer(int cause) {
+// The outcome of a running task.
+Outcome OutcomeAfterAcceptance(int cause) {
   switch (static_cast<Cause>(cause)) {
     case Cause::kEnded:
       return Outcome::kOk;
@@ -43,14 +45,14 @@
   }
 }
 
-EndReason ParseEndReason(std::string_view word) {
+EndReason ParseEndReason(std::string_view text) {
   static const std::pair<std::string_view, EndReason> kEndReasons[] = {
       {"cpu_full", EndReason::kNoCores}, {"mem_full", EndReason::kNoMemory},
       {"busy", EndReason::kQueueFull},   {"wrong_host", EndReason::kNotAcceptedHere},
       {"oom", EndReason::kEvicted},      {"preempted", EndReason::kPreempted},
       {"drained", EndReason::kMigrated}};
   for (const auto& [name, reason] : kEndReasons) {
-    if (name == word) return reason;
+    if (name == text) return reason;
   }
   return EndReason::kUnspecified;
 }
@@ -59,8 +61,8 @@
 
 NodeReply DecodeReply(const Message& release) {
   const int cause = release.CauseOr(static_cast<int>(Cause::kAborted));
-  return {OutcomeBeforeAnswer(cause), OutcomeAfterAnswer(cause), ParseEndReason(release.Get(Code::kDetail)),
-          DecodeLoadReport(release)};
+  return {OutcomeBeforeAcceptance(cause), OutcomeAfterAcceptance(cause),
+          ParseEndReason(release.Get(Code::kDetail)), DecodeLoadReport(release)};
 }
 
 // The text has the form "x0:12;x1:40;queue:3".
@@ -68,19 +70,19 @@
   std::string_view text = message.Get(Code::kLoadReport);
   LoadReport report;
   while (!text.empty()) {
-    const std::string_view pair = text.substr(0, text.find(';'));
-    text.remove_prefix(std::min(text.size(), pair.size() + 1));
-    const std::size_t colon = pair.find(':');
+    const std::string_view field = text.substr(0, text.find(';'));
+    text.remove_prefix(std::min(text.size(), field.size() + 1));
+    const std::size_t colon = field.find(':');
     if (colon == std::string_view::npos) continue;
     double value = 0;
-    if (scheduling::simulator::ReadNumber(pair.substr(colon + 1), &value)) {
-      scheduling::simulator::TellField(&report, pair.substr(0, colon), value);
+    if (scheduling::simulator::ReadNumber(field.substr(colon + 1), &value)) {
+      scheduling::simulator::TellField(&report, field.substr(0, colon), value);
     }
   }
   return report;
 }
 
-std::optional<TaskReportKind> DecodeReportKind(const Message& note) {
+std::optional<TaskReportKind> DecodeReportKind(const Message& report) {
   static const std::pair<std::string_view, TaskReportKind> kReportKinds[] = {
       {"up", TaskReportKind::kStarted},
       {"cpu", TaskReportKind::kCoresUsed},
@@ -88,14 +90,14 @@
       {"share", TaskReportKind::kServiceLevel},
       {"tight", TaskReportKind::kNodeMemoryPressure}};
   for (const auto& [name, kind] : kReportKinds) {
-    if (name == note.Get(Code::kDetail)) return kind;
+    if (name == report.Get(Code::kDetail)) return kind;
   }
   return std::nullopt;
 }
 
-double DecodeReportLevel(const Message& note) {
+double DecodeReportLevel(const Message& report) {
   double level = 0;
-  scheduling::simulator::ReadNumber(note.Get(Code::kLevel), &level);
+  scheduling::simulator::ReadNumber(report.Get(Code::kLevel), &level);
   return level;
 }
 
--- a/src/nodes/reply_decoder.h
+++ b/src/nodes/reply_decoder.h
@@ -1,5 +1,5 @@
-// Reads the fields of messages from nodes into the types of the dispatcher. Pure functions: no state, no I/O,
-// any thread. Used by NodeConnectionPool.
+// Converts the parameters of messages from nodes to the types of the dispatcher. Pure functions without state
+// or I/O, callable on any thread. Used by NodeConnectionPool.
 #pragma once
 
 #include <optional>
@@ -9,16 +9,16 @@
 
 namespace cluster_manager {
 
-// What a release says about why an attempt or a task ended. A release without a cause counts as a reset.
+// Decodes why an attempt or a task ended. A release without a cause counts as Cause::kAborted.
 NodeReply DecodeReply(const protocol::Message& release);
 
-// The load report of a message; fields that are missing or cannot be read are left out.
+// Decodes the load report of a message. Fields that are missing or invalid are not set.
 scheduling::LoadReport DecodeLoadReport(const protocol::Message& message);
 
-// What a note reports on; nothing where it is of no known kind.
-std::optional<scheduling::TaskReportKind> DecodeReportKind(const protocol::Message& note);
+// Decodes the kind of a task report; empty if the kind is unknown.
+std::optional<scheduling::TaskReportKind> DecodeReportKind(const protocol::Message& report);
 
-// The figure of a note in the unit of its kind, 0 where it cannot be read.
-double DecodeReportLevel(const protocol::Message& note);
+// Decodes the value of a task report, in the unit of its kind; 0 if it is missing or invalid.
+double DecodeReportLevel(const protocol::Message& report);
 
 }  // namespace cluster_manager
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -194,7 +194,7 @@
                                                        {"listed", dispatcher_.listed_nodes()},
                                                        {"module", dispatcher_.scheduler_entries()},
                                                        {"roster", endpoint_list_.size()},
-                                                       {"agents", node_pool_.size()},
+                                                       {"agents", node_pool_.node_count()},
                                                        {"agent_lines", node_pool_.connection_count()},
                                                        {"agent_open", node_pool_.unanswered_attempt_count()},
                                                        {"blocks", Blocks().live()},
