--- a/tests/crossing_connection_test.cpp
+++ b/tests/connection_races_test.cpp
@@ -1,5 +1,6 @@
-// Where two events cross on one connection: a reset and bytes before it, a write and an end that was not
-// read, a dial that fails at once and the loop's sleep. On TCP sockets and a loop in this process.
+// Races between events on one connection: received bytes and a reset, a write and an unread end of the
+// stream, a dial that fails immediately and the wait of the event loop. Uses TCP sockets and an event loop in
+// this process.
 #include <doctest/doctest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -18,21 +19,21 @@
 
 struct Recorder final : Connection::Handler {
   std::size_t OnData(Connection& connection, std::string_view data) override {
-    got += data;
+    received += data;
     if (on_data) on_data(connection);
     return data.size();
   }
-  void OnEnd(Connection&, Ending how) override {
-    ending = how;
+  void OnEnd(Connection&, Ending reason) override {
+    ending = reason;
     if (on_end) on_end();
   }
-  std::string got;
+  std::string received;
   std::optional<Ending> ending;
   std::function<void(Connection&)> on_data;
   std::function<void()> on_end;
 };
 
-// A connected pair of TCP sockets on loopback: a Connection on one end, the bare socket on the other.
+// A connected pair of TCP sockets on loopback: a Connection at one end, a plain socket at the other.
 struct TcpPair {
   TcpPair() {
     const int listening = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -59,11 +60,11 @@
   }
   void PeerCloses() { ::close(std::exchange(peer, -1)); }
   void PeerResets() {
-    const linger now{1, 0};
-    REQUIRE(::setsockopt(peer, SOL_SOCKET, SO_LINGER, &now, sizeof now) == 0);
+    const linger reset_on_close{1, 0};
+    REQUIRE(::setsockopt(peer, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close) == 0);
     PeerCloses();
   }
-  // Runs until the connection ends; a second is far more than that takes.
+  // Runs the loop until the connection ends, for at most a second, which is ample.
   void Run() {
     loop.After(kSecond, [this] { loop.Stop(); });
     loop.Run();
@@ -75,7 +76,7 @@
   std::optional<Connection> connection;
 };
 
-TEST_CASE("what came before a reset is read, though a write meets the reset first") {
+TEST_CASE("data received before a reset is read even if a write detects the reset first") {
   TcpPair pair;
   pair.PeerWrites("the answer");
   pair.PeerResets();
@@ -83,12 +84,12 @@
   pair.connection->Flush();
   CHECK_FALSE(pair.connection->up());
   pair.Run();
-  CHECK(pair.handler.got == "the answer");
+  CHECK(pair.handler.received == "the answer");
   REQUIRE(pair.handler.ending);
   CHECK(*pair.handler.ending == Ending::kReset);
 }
 
-TEST_CASE("after a write that failed nothing is queued, and the connection ends once") {
+TEST_CASE("after a failed write nothing is queued and the connection ends once") {
   TcpPair pair;
   int ends = 0;
   pair.handler.on_end = [&] {
@@ -107,7 +108,7 @@
   CHECK(ends == 1);
 }
 
-TEST_CASE("the end of the stream behind the bytes at hand is seen without another read") {
+TEST_CASE("the end of the stream after the received bytes is detected without another read") {
   TcpPair pair;
   pair.PeerWrites("a request");
   std::optional<Incoming> ahead;
@@ -135,57 +136,57 @@
   }
 }
 
-TEST_CASE("what came in the turn at hand is seen before its event is handled") {
+TEST_CASE("data that arrived in the current loop iteration is detected before its event is handled") {
   TcpPair first;
   // A second connection on the same loop, whose events are handled before or after those of the first.
   TcpPair other;
   Recorder handler;
-  const int moved = ::dup(other.peer);
-  REQUIRE(moved >= 0);
-  Connection second(&first.loop, moved, &handler);
-  int looked = 0;
-  const auto look = [&](const Connection& connection, const Recorder& its) {
-    if (!its.got.empty()) return;  // its event came first: nothing is left to see
-    ++looked;
+  const int duplicate = ::dup(other.peer);
+  REQUIRE(duplicate >= 0);
+  Connection second(&first.loop, duplicate, &handler);
+  int checked = 0;
+  const auto check = [&](const Connection& connection, const Recorder& recorder) {
+    if (!recorder.received.empty()) return;  // its event was handled first: no data is left to detect
+    ++checked;
     CHECK(connection.LookAhead() == Incoming::kBytes);
   };
-  first.handler.on_data = [&](Connection&) { look(second, handler); };
-  handler.on_data = [&](Connection&) { look(*first.connection, first.handler); };
+  first.handler.on_data = [&](Connection&) { check(second, handler); };
+  handler.on_data = [&](Connection&) { check(*first.connection, first.handler); };
   first.PeerWrites("one");
   *other.connection->out() += "two";
   other.connection->Flush();
   first.loop.After(50 * kMs, [&] { first.loop.Stop(); });
   first.loop.Run();
-  CHECK(looked == 1);
+  CHECK(checked == 1);
 }
 
-TEST_CASE("a dial that fails at once, out of a deadline, is not waited with") {
+TEST_CASE(
+    "a dial from a timer callback that fails immediately is reported without waiting for the next timer") {
   EventLoop loop;
   Recorder handler;
-  sockaddr_in nowhere{};
-  nowhere.sin_family = AF_INET;
-  nowhere.sin_addr.s_addr = htonl(INADDR_BROADCAST);  // refused by the kernel in the call itself
-  nowhere.sin_port = htons(9);
-  std::optional<Connection> dialled;
-  bool heard = false;
-  // The only deadline that is left when the failure is handled hangs then: a loop that sleeps on it forgets
-  // it.
+  sockaddr_in unreachable{};
+  unreachable.sin_family = AF_INET;
+  unreachable.sin_addr.s_addr = htonl(INADDR_BROADCAST);  // the connect call itself fails
+  unreachable.sin_port = htons(9);
+  std::optional<Connection> connection;
+  bool timer_fired = false;
+  // This callback adds the earliest remaining timer. A loop that had already computed its wait would miss it.
   handler.on_end = [&] {
     loop.After(kMs, [&] {
-      heard = true;
+      timer_fired = true;
       loop.Stop();
     });
   };
-  loop.After(kMs, [&] { dialled.emplace(&loop, nowhere, &handler); });
-  bool slept = false;
+  loop.After(kMs, [&] { connection.emplace(&loop, unreachable, &handler); });
+  bool long_timer_fired = false;
   loop.After(5 * kSecond, [&] {
-    slept = true;
+    long_timer_fired = true;
     loop.Stop();
   });
   loop.Run();
   CHECK(handler.ending);
-  CHECK(heard);
-  CHECK_FALSE(slept);
+  CHECK(timer_fired);
+  CHECK_FALSE(long_timer_fired);
 }
 
 }  // namespace
--- a/tests/scripted_peers_test.cpp
+++ b/tests/scripted_peers_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the scripted peers themselves: a closed port refuses connects and stays reserved until it is
+// Tests of the test helper story_peers.h: a closed port refuses connections and stays reserved until it is
 // opened.
 #include <doctest/doctest.h>
 
@@ -9,7 +9,7 @@
 namespace cluster_manager::story {
 namespace {
 
-// Whether a socket of another process could take the port: the error of bind, 0 where it could.
+// The error of binding another socket to the port; 0 if the bind succeeds.
 int BindError(int port) {
   const int other = ::socket(AF_INET, SOCK_STREAM, 0);
   REQUIRE(other >= 0);
@@ -20,6 +20,7 @@
   return error;
 }
 
+// The error of connecting to the port; 0 if the connect succeeds.
 int ConnectError(int port) {
   const int client = ::socket(AF_INET, SOCK_STREAM, 0);
   REQUIRE(client >= 0);
@@ -30,12 +31,12 @@
   return error;
 }
 
-TEST_CASE("a closed port of a scripted peer refuses connects and cannot be taken by another process") {
+TEST_CASE("a closed port of a scripted peer refuses connections and cannot be bound by another process") {
   Port port;
   const int number = port.number();
   for (int round = 0; round < 3; ++round) {
     CHECK(BindError(number) == EADDRINUSE);
-    port.Close();  // without a connection, which would keep the port by itself
+    port.Close();  // without an open connection, which would keep the port reserved
     CHECK(ConnectError(number) == ECONNREFUSED);
     CHECK(BindError(number) == EADDRINUSE);
     port.Open();
