--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -11,11 +11,11 @@
   static constexpr rlim_t kDescriptorLimit = 48;
   static constexpr int kNodes = 64, kIdleClients = 60;
 
-  Port bulletin;
+  Port discovery_port;
   std::deque<Port> ports = std::deque<Port>(kNodes);
   std::deque<NodeRecord> nodes;
   std::optional<Program> program;
-  ScriptedList discovery{&bulletin};
+  ScriptedList discovery{&discovery_port};
   std::optional<Wire> client;
   std::vector<Wire> idle_clients;
   TaskId next_task = 1;
@@ -32,7 +32,7 @@
       nodes.emplace_back(&ports[static_cast<std::size_t>(i)]);
       list.push_back(EntryOf(i, cores));
     }
-    program.emplace(list, bulletin, Settings(), kDescriptorLimit);
+    program.emplace(list, discovery_port, Settings(), kDescriptorLimit);
     program->Owner().NothingElse();  // the program is running
   }
   // Connects clients that send nothing. On return the program has accepted all of them and evicted those over
@@ -48,11 +48,11 @@
   // Ends the discovery stream and refuses connections until ReopenDiscovery().
   void CloseDiscovery() {
     discovery.Stop();
-    bulletin.Close();
+    discovery_port.Close();
     program->Logged("bulletin: closed");
   }
   void ReopenDiscovery() {
-    bulletin.Open();
+    discovery_port.Open();
     discovery.Start();
   }
   // Waits for the task request at that node. Other nodes that get the request first reject it for lack of
--- a/tests/node_disconnect_races_test.cpp
+++ b/tests/node_disconnect_races_test.cpp
@@ -63,7 +63,7 @@
   CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
-// The same for an acceptance: the task runs, and its client is informed.
+// The same for an acceptance: the task runs, and its client receives the acceptance.
 TEST_CASE_FIXTURE(
     NodeDisconnectTest,
     "an acceptance and a reset arrive in one loop iteration while bytes are written to the node") {
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -84,11 +84,11 @@
 
 struct SlowStartTest {
   const int send_budget;
-  Port bulletin;
+  Port discovery_port;
   CountingNode established{"s-00000001"};
   std::vector<std::unique_ptr<CountingNode>> starting;  // in the order of their starts
   std::vector<std::unique_ptr<Program>> programs;
-  ScriptedList list{&bulletin};
+  ScriptedList list{&discovery_port};
   std::vector<Wire> clients;
   std::chrono::steady_clock::time_point next_health_check_at;
   int requested = 0, completed = 0;  // requests sent; completions received by the clients
@@ -97,7 +97,7 @@
   SlowStartTest(int processes, int budget) : send_budget(budget) {
     for (int i = 0; i < processes; ++i) {
       programs.push_back(
-          std::make_unique<Program>(json::array(), bulletin, GroupSettings(processes, i, send_budget)));
+          std::make_unique<Program>(json::array(), discovery_port, GroupSettings(processes, i, send_budget)));
       programs.back()->Owner().NothingElse();  // it runs before any node starts
     }
     list.Start();
