--- a/src/clients/request_parser.cpp
+++ b/src/clients/request_parser.cpp
@@ -91,7 +91,7 @@
   if (name.empty()) return false;
   // The class of a running task may have been removed by a change of the settings.
   const bool running = request->running_on.has_value();
-  request->task.class_index = running ? classes_.ForRunningTask(name) : classes_.Position(name);
+  request->task.class_index = running ? classes_.PositionForRunningTask(name) : classes_.FindPosition(name);
   if (request->task.class_index < 0) return false;
   const bool needs_key =
       !running && SettingsOf(*request).retry_safety == scheduling::RetrySafety::kIdempotencyKey;
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -58,7 +58,7 @@
   // Waits for the task request at that node. Other nodes that get the request first reject it for lack of
   // capacity. The program may try a node at which a task has just ended: it assumes that the endpoint list
   // lags behind, and that the list shows the start of that task and not its end yet
-  // (tests/logic_placement_test.cpp, AnEndThatTheListDoesNotShowYet...).
+  // (tests/scheduling_placement_test.cpp, TaskEndThatIsNotListedYet...).
   Wire& AwaitTaskRequestAt(int i, TaskId task) {
     NodeRecord& expected = nodes[static_cast<std::size_t>(i)];
     const Patience patience;
