--- a/bench/backfill_bench.cpp
+++ b/bench/backfill_bench.cpp
@@ -28,8 +28,8 @@
 namespace {
 
 using namespace cluster_manager::backfill;
-using cluster_manager::estimates::End;
-using cluster_manager::estimates::Estimates;
+using cluster_manager::estimates::Outcome;
+using cluster_manager::estimates::RunTimeEstimator;
 using scheduling::RequestId;
 
 constexpr Time kStart = Time{1'700'000'000} * kSecond, kTick = 100 * kMs;
@@ -72,7 +72,7 @@
 };
 
 struct Manager {
-  Estimates estimates;
+  RunTimeEstimator estimates;
   EstimatedLives lives{&estimates};
   All rules;
   Port port;
@@ -195,7 +195,7 @@
       free_[live.node] += static_cast<int>(live.task.cores);
       Manager& of = *managers_[static_cast<std::size_t>(live.manager)];
       if (on_) {
-        of.estimates.Ended(id, live.cut > 0 ? End::kCut : End::kDone, now_);
+        of.estimates.OnTaskEnded(id, live.cut > 0 ? Outcome::kCensored : Outcome::kCompleted, now_);
         for (auto& m : managers_) m->backfill->Over(id, now_);
       }
       live_.erase(id);
@@ -216,7 +216,7 @@
     free_[node] -= static_cast<int>(live.task.cores);
     ends_.emplace(now_ + (live.cut > 0 ? live.cut : live.lives), live.task.id);
     if (!on_) return;
-    m.estimates.Started(live.task, now_, now_);
+    m.estimates.OnTaskStarted(live.task, now_, now_);
     for (auto& each : managers_) each->backfill->Stands(live.task, node, now_, now_, each.get() == &m);
   }
 
@@ -294,8 +294,8 @@
         }
         if ((now_ - kStart) % (5 * kSecond) != 0) continue;
         auto& heard = managers_[to]->heard[from];
-        const auto said = managers_[from]->estimates.Delta(heard, 200, now_);
-        heard = said.up_to;
+        const auto said = managers_[from]->estimates.BuildDelta(heard, 200, now_);
+        heard = said.up_to_version;
         managers_[to]->estimates.Merge(said);
       }
     }
--- /dev/null
+++ b/src/estimates/survival_curve.cpp
@@ -0,0 +1,59 @@
+#include "estimates/survival_curve.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace cluster_manager::estimates {
+
+double SurvivalCurve::SurvivalPast(double duration) const {
+  if (duration <= 0) return 1;
+  const int bucket = LogBuckets::Of(static_cast<Time>(std::min(duration, 9e18)));
+  const auto lower = static_cast<double>(LogBuckets::Lower(bucket));
+  const auto upper = static_cast<double>(LogBuckets::Upper(bucket));
+  const double part = std::clamp((duration - lower) / (upper - lower), 0.0, 1.0);
+  return SurvivalPastBucket(bucket - 1) +
+         part * (SurvivalPastBucket(bucket) - SurvivalPastBucket(bucket - 1));
+}
+
+int SurvivalCurve::QuantileBucket(double q) const {
+  // `survival` never rises. The tolerance covers values that only rounding keeps above 1 - q.
+  const auto it = std::ranges::find_if(survival, [q](double left) { return left <= 1 - q + 1e-12; });
+  return static_cast<int>(std::min<std::ptrdiff_t>(it - survival.begin(), LogBuckets::kBuckets - 1));
+}
+
+SurvivalCurve LogUniformCurve(Time from, Time to) {
+  constexpr double kTail = 0.01;
+  const int first = LogBuckets::Of(from), last = LogBuckets::Of(to);
+  SurvivalCurve curve;
+  for (int i = 0; i < LogBuckets::kBuckets; ++i) {
+    double left = 0;
+    if (i < first) {
+      left = 1 - kTail * (i + 1) / first;
+    } else if (i <= last) {
+      left = 1 - kTail - (1 - 2 * kTail) * (i - first + 1) / (last - first + 1);
+    } else {
+      left = kTail * (LogBuckets::kBuckets - 1 - i) / (LogBuckets::kBuckets - 1 - last);
+    }
+    curve.survival[static_cast<std::size_t>(i)] = left;
+  }
+  curve.survival.back() = 0;
+  return curve;
+}
+
+SurvivalCurve EstimateSurvival(const ObservationCounts& counts, const SurvivalCurve& prior,
+                               double prior_weight) {
+  SurvivalCurve curve;
+  double at_risk = counts.total, left = 1;
+  for (std::size_t i = 0; i < curve.survival.size(); ++i) {
+    const double before = prior.SurvivalPastBucket(static_cast<int>(i) - 1);
+    const double risk = at_risk + prior_weight * before;
+    const double completed = counts.completed[i] + prior_weight * (before - prior.survival[i]);
+    left = risk <= 0 ? 0 : left * std::max(0.0, 1 - completed / risk);
+    curve.survival[i] = left;
+    at_risk = std::max(0.0, at_risk - counts.completed[i] - counts.censored[i]);
+  }
+  curve.survival.back() = 0;
+  return curve;
+}
+
+}  // namespace cluster_manager::estimates
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -1,7 +1,5 @@
-// Run times learned from tasks that ended, were cut or stand, against sorted data and a product-limit
-// estimate worked out by hand for each history.
-#include "estimates/estimates.h"
-
+// Run-time estimates from completed, censored and running tasks, compared with the quantiles of sorted data
+// and with a product-limit estimate computed from its definition.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -10,27 +8,30 @@
 #include <pcg_random.hpp>
 #include <random>
 
+#include "estimates/run_time_estimator.h"
+
 namespace cluster_manager::estimates {
 namespace {
 
 constexpr Time kSecond = 1'000'000'000, kStart = Time{1'700'000'000} * kSecond;
 
-Task Of(std::uint64_t service, double cores = 1, Time lasts = 0, scheduling::RequestId id = 0) {
+Task MakeTask(std::uint64_t service, double cores = 1, Time expected_duration = 0,
+              scheduling::RequestId id = 0) {
   Task task;
   task.id = id;
   task.class_index = 1;
   task.tenant = 3;
   task.service = service;
   task.cores = cores;
-  task.expected_duration = lasts;
+  task.expected_duration = expected_duration;
   return task;
 }
 
-Terms Plain() {  // no prior, no fading: what was seen and nothing else
-  Terms terms;
-  terms.lean = 0;
-  terms.half_life = 1'000'000 * kSecond;
-  return terms;
+Parameters UnweightedParameters() {  // no prior and no aging: the observations alone
+  Parameters parameters;
+  parameters.prior_weight = 0;
+  parameters.halving_period = 1'000'000 * kSecond;
+  return parameters;
 }
 
 Time Lognormal(pcg32& random, double median_s, double sigma) {
@@ -39,7 +40,7 @@
       static_cast<Time>(std::lognormal_distribution<double>(std::log(median_s), sigma)(random) * kSecond));
 }
 
-TEST_CASE("buckets: whatever stands in one is within the stated error of its middle") {
+TEST_CASE("buckets: every value is within the stated error of the middle of its bucket") {
   pcg32 random(1);
   for (int i = 0; i < 20'000; ++i) {
     const Time value = Lognormal(random, 60, 2);
@@ -51,7 +52,7 @@
   }
 }
 
-TEST_CASE("buckets: halving twice is halving once by two, whenever it is done") {
+TEST_CASE("buckets: halving in several steps gives the same weights as halving at once") {
   pcg32 random(2);
   BucketCounts at_once, by_steps;
   for (int i = 0; i < 500; ++i) {
@@ -68,124 +69,131 @@
 TEST_CASE("quantiles of uncensored tasks are within the stated error of the sorted data") {
   for (unsigned seed = 0; seed < 20; ++seed) {
     pcg32 random(seed);
-    Estimates estimates(Plain(), 1, 1);
+    RunTimeEstimator estimator(UnweightedParameters(), 1, 1);
     std::vector<Time> all;
     for (int i = 0; i < 700; ++i) {
       all.push_back(Lognormal(random, random(2) ? 3 : 400, 0.2 + 0.1 * seed));
-      estimates.Note(Of(7), all.back(), End::kDone, kStart);
+      estimator.RecordRunTime(MakeTask(7), all.back(), Outcome::kCompleted, kStart);
     }
     std::ranges::sort(all);
     for (const double q : {0.05, 0.25, 0.5, 0.9, 0.99}) {
       const auto exact = static_cast<double>(all[static_cast<std::size_t>(std::ceil(q * 700 - 1e-9)) - 1]);
-      const auto told = static_cast<double>(estimates.Quantile(Of(7), q, kStart));
-      CHECK(std::abs(told / exact - 1) <= LogBuckets::kError + 1e-6);
+      const auto estimate = static_cast<double>(estimator.Quantile(MakeTask(7), q, kStart));
+      CHECK(std::abs(estimate / exact - 1) <= LogBuckets::kError + 1e-6);
     }
   }
 }
 
-struct Seen {
+struct Observation {
   int bucket;
-  bool done;
+  bool completed;
 };
 
-// None where nobody is left. Product over each moment at which somebody ended, from the definition: one look
-// at everybody for each.
-std::optional<double> StillThere(const std::vector<Seen>& all, int bucket) {
+// The survival past `bucket` by the definition of the product-limit estimate: a product over all buckets, for
+// each of which all observations are scanned. None if no observation is at risk in `bucket`.
+std::optional<double> ProductLimit(const std::vector<Observation>& all, int bucket) {
   double left = 1;
-  int risk = 0;
+  int at_risk = 0;
   for (int at = 0; at <= bucket; ++at) {
-    int ended = 0;
-    risk = 0;
-    for (const Seen& each : all) {
-      risk += each.bucket >= at;
-      ended += each.done && each.bucket == at;
+    int completed = 0;
+    at_risk = 0;
+    for (const Observation& each : all) {
+      at_risk += each.bucket >= at;
+      completed += each.completed && each.bucket == at;
     }
-    if (risk > 0) left *= 1 - static_cast<double>(ended) / risk;
+    if (at_risk > 0) left *= 1 - static_cast<double>(completed) / at_risk;
   }
-  return risk > 0 ? std::optional(left) : std::nullopt;
+  return at_risk > 0 ? std::optional(left) : std::nullopt;
 }
 
-TEST_CASE("cut and standing tasks count as Kaplan and Meier have them, not as short ones") {
+TEST_CASE("stopped and running tasks count as censored observations of the Kaplan-Meier estimate") {
   for (unsigned seed = 0; seed < 15; ++seed) {
     pcg32 random(seed);
-    Estimates estimates(Plain(), 1, 1);
-    std::vector<Seen> all;
-    std::vector<std::pair<Time, Time>> standing;  // since, ends
+    RunTimeEstimator estimator(UnweightedParameters(), 1, 1);
+    std::vector<Observation> all;
+    std::vector<std::pair<Time, Time>> running;  // since, id
     Time now = kStart;
     for (scheduling::RequestId id = 1; id <= 160; ++id) {
       now += static_cast<Time>(random(2000)) * 1'000'000;
-      const Time lives = Lognormal(random, 60, 1.2), cut = Lognormal(random, 40, 1);
-      estimates.Started(Of(7, 1, 0, id), now, now);
+      const Time full_run_time = Lognormal(random, 60, 1.2), censoring_time = Lognormal(random, 40, 1);
+      estimator.OnTaskStarted(MakeTask(7, 1, 0, id), now, now);
       if (random(3) == 0) {
-        standing.emplace_back(now, id);
+        running.emplace_back(now, id);
         continue;
       }
-      const Time ran = std::min(lives, cut);
-      estimates.Note(Of(7), ran, lives <= cut ? End::kDone : End::kCut, now);
-      estimates.Ended(id, End::kCut, now);  // at once: adds nobody beyond the first bucket
+      const Time run_time = std::min(full_run_time, censoring_time);
+      estimator.RecordRunTime(MakeTask(7), run_time,
+                              full_run_time <= censoring_time ? Outcome::kCompleted : Outcome::kCensored,
+                              now);
+      // Ends at once: a censored observation in the first bucket.
+      estimator.OnTaskEnded(id, Outcome::kCensored, now);
       all.push_back({0, false});
-      all.push_back({LogBuckets::Of(ran), lives <= cut});
+      all.push_back({LogBuckets::Of(run_time), full_run_time <= censoring_time});
     }
     now += 30 * kSecond;
-    for (const auto& [since, id] : standing) {
+    for (const auto& [since, id] : running) {
       const int bucket = LogBuckets::Of(now - since);
       all.push_back({bucket < 48 ? 0 : bucket - bucket % 4, false});
     }
     for (int bucket = 0; bucket < 120; ++bucket) {
-      const std::optional<double> exact = StillThere(all, bucket);
+      const std::optional<double> exact = ProductLimit(all, bucket);
       if (!exact) break;
-      const double told = estimates.Outlives(Of(7), 0, LogBuckets::Upper(bucket), now);
-      REQUIRE(told == doctest::Approx(*exact).epsilon(1e-9));
+      const double estimate = estimator.SurvivalProbability(MakeTask(7), 0, LogBuckets::Upper(bucket), now);
+      REQUIRE(estimate == doctest::Approx(*exact).epsilon(1e-9));
     }
-    CHECK(estimates.standing() == standing.size());
+    CHECK(estimator.running_task_count() == running.size());
   }
 }
 
-TEST_CASE("half of all lives cut: the median is that of whole lives, where cut ones as short ones miss it") {
+TEST_CASE("with half of the run times censored the median is close to that of the full run times") {
   pcg32 random(5);
-  Estimates estimates(Terms{}, 1, 1);
-  std::vector<Time> as_short;
+  RunTimeEstimator estimator(Parameters{}, 1, 1);
+  std::vector<Time> uncorrected;
   for (int i = 0; i < 4000; ++i) {
-    const Time lives = Lognormal(random, 100, 0.7), cut = Lognormal(random, 100, 0.7);
-    as_short.push_back(std::min(lives, cut));
-    estimates.Note(Of(7), as_short.back(), lives <= cut ? End::kDone : End::kCut, kStart);
+    const Time full_run_time = Lognormal(random, 100, 0.7), censoring_time = Lognormal(random, 100, 0.7);
+    uncorrected.push_back(std::min(full_run_time, censoring_time));
+    estimator.RecordRunTime(MakeTask(7), uncorrected.back(),
+                            full_run_time <= censoring_time ? Outcome::kCompleted : Outcome::kCensored,
+                            kStart);
   }
-  std::ranges::nth_element(as_short, as_short.begin() + 2000);
-  CHECK(static_cast<double>(estimates.Quantile(Of(7), 0.5, kStart)) / kSecond ==
+  // Counted as completions, the censored run times would give a median that is more than a quarter too low.
+  std::ranges::nth_element(uncorrected, uncorrected.begin() + 2000);
+  CHECK(static_cast<double>(estimator.Quantile(MakeTask(7), 0.5, kStart)) / kSecond ==
         doctest::Approx(100).epsilon(0.12));
-  CHECK(as_short[2000] < 75 * kSecond);
+  CHECK(uncorrected[2000] < 75 * kSecond);
 }
 
-TEST_CASE("few samples: the answer is nearly as wide as the class, and many make it narrow") {
+TEST_CASE("few samples give an estimate nearly as wide as the class and many a narrow one") {
   pcg32 random(6);
-  Estimates estimates(Terms{}, 1, 1);
+  RunTimeEstimator estimator(Parameters{}, 1, 1);
   std::vector<Time> all;
   for (int i = 0; i < 2000; ++i) {
     all.push_back(Lognormal(random, 60, 1.5));
-    estimates.Note(Of(100 + random(50)), all.back(), End::kDone, kStart);
+    estimator.RecordRunTime(MakeTask(100 + random(50)), all.back(), Outcome::kCompleted, kStart);
   }
   std::ranges::sort(all);
   const double exact = static_cast<double>(all[1799]) / static_cast<double>(all[199]);
   const auto width = [&](std::uint64_t service) {
-    return static_cast<double>(estimates.Quantile(Of(service), 0.9, kStart)) /
-           static_cast<double>(estimates.Quantile(Of(service), 0.1, kStart));
+    return static_cast<double>(estimator.Quantile(MakeTask(service), 0.9, kStart)) /
+           static_cast<double>(estimator.Quantile(MakeTask(service), 0.1, kStart));
   };
-  const double of_class = width(999);  // nobody has seen it
-  CHECK(of_class == doctest::Approx(exact).epsilon(0.12));
-  estimates.Note(Of(7), 60 * kSecond, End::kDone, kStart);
-  CHECK(width(7) > of_class / 5);
-  for (int i = 0; i < 300; ++i) estimates.Note(Of(7), Lognormal(random, 60, 0.1), End::kDone, kStart);
+  const double class_width = width(999);  // a service without observations
+  CHECK(class_width == doctest::Approx(exact).epsilon(0.12));
+  estimator.RecordRunTime(MakeTask(7), 60 * kSecond, Outcome::kCompleted, kStart);
+  CHECK(width(7) > class_width / 5);
+  for (int i = 0; i < 300; ++i)
+    estimator.RecordRunTime(MakeTask(7), Lognormal(random, 60, 0.1), Outcome::kCompleted, kStart);
   CHECK(width(7) < 1.6);
 }
 
-TEST_CASE("remaining time is conditional on the age: past the short mode only the long one is left") {
+TEST_CASE("the remaining time is conditional on the age: past the short mode only the long mode counts") {
   pcg32 random(7);
-  Estimates estimates(Plain(), 1, 1);
+  RunTimeEstimator estimator(UnweightedParameters(), 1, 1);
   std::vector<double> all;
   for (int i = 0; i < 3000; ++i) {
-    const Time lives = Lognormal(random, random(4) ? 10 : 1000, 0.3);
-    all.push_back(static_cast<double>(lives) / kSecond);
-    estimates.Note(Of(7), lives, End::kDone, kStart);
+    const Time full_run_time = Lognormal(random, random(4) ? 10 : 1000, 0.3);
+    all.push_back(static_cast<double>(full_run_time) / kSecond);
+    estimator.RecordRunTime(MakeTask(7), full_run_time, Outcome::kCompleted, kStart);
   }
   std::ranges::sort(all);
   for (const double age : {0.0, 4.0, 9.0, 40.0, 800.0}) {
@@ -193,71 +201,78 @@
     for (const double q : {0.2, 0.5, 0.9}) {
       const auto left = static_cast<double>(all.end() - from);
       const double exact = *(from + static_cast<std::ptrdiff_t>(std::ceil(q * left) - 1));
-      const double told = estimates.RemainingSeconds(Of(7), static_cast<Time>(age * kSecond), q, kStart);
-      CHECK((age + told) / exact == doctest::Approx(1).epsilon(LogBuckets::kGamma - 1));
+      const double estimate =
+          estimator.RemainingSeconds(MakeTask(7), static_cast<Time>(age * kSecond), q, kStart);
+      CHECK((age + estimate) / exact == doctest::Approx(1).epsilon(LogBuckets::kGamma - 1));
     }
   }
 }
 
-TEST_CASE("the owner's word counts as far as it was right: close for one service, nothing for the other") {
+TEST_CASE(
+    "expected durations are weighted by their accuracy: fully for one service and not at all for another") {
   pcg32 random(8);
-  Estimates estimates(Terms{}, 1, 1);
+  RunTimeEstimator estimator(Parameters{}, 1, 1);
   for (int i = 0; i < 600; ++i) {
-    const Time lives = Lognormal(random, 100, 1);
+    const Time full_run_time = Lognormal(random, 100, 1);
     const double noise = std::exp(std::normal_distribution<double>(std::log(0.5), 0.1)(random));
-    // The first says twice what it lasts, the second anything at all.
-    estimates.Note(Of(1, 1, static_cast<Time>(static_cast<double>(lives) / noise)), lives, End::kDone,
-                   kStart);
-    estimates.Note(Of(2, 1, Lognormal(random, 1000, 2)), Lognormal(random, 100, 0.3), End::kDone, kStart);
+    // Service 1 declares about twice its run time, service 2 a random duration.
+    estimator.RecordRunTime(MakeTask(1, 1, static_cast<Time>(static_cast<double>(full_run_time) / noise)),
+                            full_run_time, Outcome::kCompleted, kStart);
+    estimator.RecordRunTime(MakeTask(2, 1, Lognormal(random, 1000, 2)), Lognormal(random, 100, 0.3),
+                            Outcome::kCompleted, kStart);
   }
-  const auto seconds = [&](std::uint64_t service, Time word, double q) {
-    return static_cast<double>(estimates.Quantile(Of(service, 1, word), q, kStart)) / kSecond;
+  const auto seconds = [&](std::uint64_t service, Time expected, double q) {
+    return static_cast<double>(estimator.Quantile(MakeTask(service, 1, expected), q, kStart)) / kSecond;
   };
-  for (const int word : {20, 200, 2000}) {
-    CHECK(seconds(1, word * kSecond, 0.5) == doctest::Approx(word * 0.5).epsilon(0.15));
-    CHECK(seconds(1, word * kSecond, 0.9) < word * 0.8);
-    CHECK(seconds(2, word * kSecond, 0.5) == doctest::Approx(100).epsilon(0.15));
+  for (const int expected : {20, 200, 2000}) {
+    CHECK(seconds(1, expected * kSecond, 0.5) == doctest::Approx(expected * 0.5).epsilon(0.15));
+    CHECK(seconds(1, expected * kSecond, 0.9) < expected * 0.8);
+    CHECK(seconds(2, expected * kSecond, 0.5) == doctest::Approx(100).epsilon(0.15));
   }
 }
 
 TEST_CASE(
-    "drift: after four half-lives the new level is told, and keys nobody uses are forgotten and counted") {
+    "drift: four half-lives after a change the estimate follows it and unused keys are evicted and "
+    "counted") {
   pcg32 random(9);
-  Terms terms;
-  terms.most_keys = 64;
-  Estimates estimates(terms, 1, 1);
-  for (int i = 0; i < 500; ++i) estimates.Note(Of(7), Lognormal(random, 10, 0.2), End::kDone, kStart);
+  Parameters parameters;
+  parameters.max_keys = 64;
+  RunTimeEstimator estimator(parameters, 1, 1);
+  for (int i = 0; i < 500; ++i)
+    estimator.RecordRunTime(MakeTask(7), Lognormal(random, 10, 0.2), Outcome::kCompleted, kStart);
   Time now = kStart;
   for (int i = 0; i < 400; ++i) {
-    now += terms.half_life / 100;
-    estimates.Note(Of(7), Lognormal(random, 100, 0.2), End::kDone, now);
+    now += parameters.halving_period / 100;
+    estimator.RecordRunTime(MakeTask(7), Lognormal(random, 100, 0.2), Outcome::kCompleted, now);
   }
-  CHECK(static_cast<double>(estimates.Quantile(Of(7), 0.5, now)) / kSecond ==
+  CHECK(static_cast<double>(estimator.Quantile(MakeTask(7), 0.5, now)) / kSecond ==
         doctest::Approx(100).epsilon(0.15));
   for (std::uint64_t service = 100; service < 1000; ++service) {
-    estimates.Note(Of(service), kSecond, End::kDone, now);
-    if (service % 10 == 0) estimates.Quantile(Of(7), 0.5, now);
+    estimator.RecordRunTime(MakeTask(service), kSecond, Outcome::kCompleted, now);
+    if (service % 10 == 0) estimator.Quantile(MakeTask(7), 0.5, now);
   }
-  CHECK(estimates.keys() <= 64);
-  CHECK(estimates.bounds().keys_forgotten > 1000);
-  CHECK(estimates.Weight(Of(7), Key::kSized, now) > 100);  // it was in use
+  CHECK(estimator.key_count() <= 64);
+  CHECK(estimator.limit_counters().keys_evicted > 1000);
+  // Service 7 was queried in between and therefore not evicted.
+  CHECK(estimator.ObservationWeight(MakeTask(7), Key::kSize, now) > 100);
 }
 
 TEST_CASE(
-    "a standing task that ends leaves nothing behind, in whichever order and however often it is told") {
+    "a running task that ends leaves no weight behind with any order and repetition of starts and ends") {
   pcg32 random(10);
-  Estimates estimates(Plain(), 1, 1);
+  RunTimeEstimator estimator(UnweightedParameters(), 1, 1);
   Time now = kStart;
   for (scheduling::RequestId id = 1; id < 600; ++id) {
     now += static_cast<Time>(random(1000)) * 1'000'000;
-    const scheduling::RequestId which = 1 + random(40);
+    const scheduling::RequestId task_id = 1 + random(40);
     const Time since = now - static_cast<Time>(random(5000)) * kSecond;
-    if (random(2)) estimates.Started(Of(which % 5, 1, random(2) ? kSecond * 50 : 0, which), since, now);
-    if (random(2)) estimates.Ended(which, random(2) ? End::kDone : End::kCut, now);
+    if (random(2))
+      estimator.OnTaskStarted(MakeTask(task_id % 5, 1, random(2) ? kSecond * 50 : 0, task_id), since, now);
+    if (random(2)) estimator.OnTaskEnded(task_id, random(2) ? Outcome::kCompleted : Outcome::kCensored, now);
   }
-  for (scheduling::RequestId id = 1; id <= 40; ++id) estimates.Ended(id, End::kCut, now);
-  CHECK(estimates.standing() == 0);
-  for (const Said::Cell& cell : estimates.Delta(0, 10'000, now).cells) {
+  for (scheduling::RequestId id = 1; id <= 40; ++id) estimator.OnTaskEnded(id, Outcome::kCensored, now);
+  CHECK(estimator.running_task_count() == 0);
+  for (const CellDelta::Cell& cell : estimator.BuildDelta(0, 10'000, now).cells) {
     for (const auto& entry : cell.counts) REQUIRE(entry.weight[BucketCounts::kStanding] == 0);
   }
 }
