--- a/src/backfill/backfill.cpp
+++ b/src/backfill/backfill.cpp
@@ -1,4 +1,4 @@
-// What is seen of nodes and tasks, and what may go into a gap.
+// Observations of nodes and tasks, admission of tasks to gaps, and announcements.
 #include "backfill/backfill.h"
 
 #include <algorithm>
@@ -6,206 +6,228 @@
 
 namespace cluster_manager::backfill {
 
-const char* Name(Why why) {
-  switch (why) {
-    case Why::kPlaced:
-      return "placed";
-    case Why::kNotWaiting:
-      return "the task waits no more";
-    case Why::kNode:
-      return "the node drains, is cold or not listed";
-    case Why::kSite:
-      return "its site is lost";
-    case Why::kRules:
-      return "the rules do not allow it any more";
-    case Why::kRight:
-      return "without the right";
-    case Why::kBroken:
-      return "no room in time";
-    case Why::kKinds:
+const char* ToString(DropReason reason) {
+  switch (reason) {
+    case DropReason::kStarted:
+      return "task started";
+    case DropReason::kNotWaiting:
+      return "task no longer waits";
+    case DropReason::kNodeUnavailable:
+      return "node draining, cold, too small or not listed";
+    case DropReason::kZoneLost:
+      return "zone lost";
+    case DropReason::kConstraints:
+      return "placement constraints no longer allow the task";
+    case DropReason::kNoLease:
+      return "no lease for the node";
+    case DropReason::kMissed:
+      return "capacity not free in time";
+    case DropReason::kCount:
       break;
   }
   return "";
 }
 
-Backfill::Backfill(Terms terms, Rights* rights, Lives* lives, const Rules* rules)
-    : terms_(std::move(terms)), rights_(rights), lives_(lives), rules_(rules) {}
+Backfill::Backfill(Parameters parameters, Leases* leases, RunTimePredictor* predictor,
+                   const PlacementConstraints* constraints)
+    : parameters_(std::move(parameters)), leases_(leases), predictor_(predictor), constraints_(constraints) {}
 
-// --- What is seen ---
+// --- Observations ---
 
-void Backfill::Listed(NodeId node, const Node& as, Time now) {
-  nodes_[node].as = as;
-  largest_cores_ = std::max(largest_cores_, as.cores);
-  largest_memory_ = std::max(largest_memory_, as.memory);
-  const auto own = own_.find(node);
-  if (own == own_.end()) return;
-  if (!as.ready || as.cores < own->second.task.cores || as.memory < own->second.task.memory) {
-    Drop(node, Why::kNode, now);
+void Backfill::UpdateNode(NodeId node, const Node& state, Time now) {
+  nodes_[node].state = state;
+  largest_cores_ = std::max(largest_cores_, state.cores);
+  largest_memory_ = std::max(largest_memory_, state.memory);
+  const auto own = reservations_.find(node);
+  if (own == reservations_.end()) return;
+  if (!state.ready || state.cores < own->second.task.cores || state.memory < own->second.task.memory) {
+    DropReservation(node, DropReason::kNodeUnavailable, now);
   }
 }
 
-void Backfill::Unlisted(NodeId node, Time now) {
+void Backfill::RemoveNode(NodeId node, Time now) {
   const auto it = nodes_.find(node);
   if (it == nodes_.end()) return;
-  Drop(node, Why::kNode, now);
-  for (const scheduling::RequestId id : it->second.tasks) standing_.erase(id);
+  DropReservation(node, DropReason::kNodeUnavailable, now);
+  for (const scheduling::RequestId id : it->second.tasks) running_tasks_.erase(id);
   nodes_.erase(it);
 }
 
-void Backfill::SiteLost(int zone, bool lost, Time now) {
+void Backfill::SetZoneLost(int zone, bool lost, Time now) {
   if (!lost) {
-    lost_sites_.erase(zone);
+    lost_zones_.erase(zone);
     return;
   }
-  if (!lost_sites_.insert(zone).second) return;
-  std::vector<NodeId> gone;
-  for (const auto& [node, r] : own_) {
-    if (nodes_.at(node).as.zone == zone) gone.push_back(node);
+  if (!lost_zones_.insert(zone).second) return;
+  std::vector<NodeId> affected;
+  for (const auto& [node, r] : reservations_) {
+    if (nodes_.at(node).state.zone == zone) affected.push_back(node);
   }
-  for (const NodeId node : gone) Drop(node, Why::kSite, now);
+  for (const NodeId node : affected) DropReservation(node, DropReason::kZoneLost, now);
 }
 
-void Backfill::Changed(NodeId node, Time now) {
-  const auto it = own_.find(node);
-  if (it != own_.end() && !rules_->MayStand(node, it->second.task, now)) Drop(node, Why::kRules, now);
+void Backfill::OnConstraintsChanged(NodeId node, Time now) {
+  const auto it = reservations_.find(node);
+  if (it != reservations_.end() && !constraints_->Allows(node, it->second.task, now))
+    DropReservation(node, DropReason::kConstraints, now);
 }
 
-void Backfill::Stands(const Task& task, NodeId node, Time since, Time now, bool own_task) {
-  const auto place = nodes_.find(node);
-  if (place == nodes_.end()) return;
-  Over(task.id, now);
-  Standing standing{.task = task, .node = node, .since = since};
-  const auto into = [&](Time at, Time begun, double spare_cores, double spare_memory) {
-    if (!own_task || since < begun || (task.cores <= spare_cores && task.memory <= spare_memory)) return;
-    standing.due = standing.due == 0 ? at : std::min(standing.due, at);
+void Backfill::OnTaskStarted(const Task& task, NodeId node, Time since, Time now, bool own_task) {
+  const auto entry = nodes_.find(node);
+  if (entry == nodes_.end()) return;
+  OnTaskEnded(task.id, now);
+  RunningTask running{.task = task, .node = node, .since = since};
+  const auto limit_gap = [&](Time expected_start, Time reserved_at, double spare_cores, double spare_memory) {
+    if (!own_task || since < reserved_at || (task.cores <= spare_cores && task.memory <= spare_memory))
+      return;
+    running.gap_end = running.gap_end == 0 ? expected_start : std::min(running.gap_end, expected_start);
   };
-  const auto own = own_.find(node);
-  if (own != own_.end() && Usable(own->second, now) && own->second.task.id != task.id) {
-    into(own->second.at, own->second.begun, own->second.spare_cores, own->second.spare_memory);
+  const auto own = reservations_.find(node);
+  if (own != reservations_.end() && IsActive(own->second, now) && own->second.task.id != task.id) {
+    limit_gap(own->second.expected_start, own->second.created, own->second.spare_cores,
+              own->second.spare_memory);
   }
-  for (auto it = told_.lower_bound({node, 0}); it != told_.end() && it->first.first == node; ++it) {
-    if (now < it->second.until)
-      into(it->second.at, it->second.said, it->second.spare_cores, it->second.spare_memory);
+  for (auto it = announcements_.lower_bound({node, 0}); it != announcements_.end() && it->first.first == node;
+       ++it) {
+    if (now < it->second.valid_until)
+      limit_gap(it->second.expected_start, it->second.sent, it->second.spare_cores, it->second.spare_memory);
   }
-  if (standing.due > 0) ++counters_.fills;
-  place->second.used_cores += task.cores;
-  place->second.used_memory += task.memory;
-  place->second.tasks.insert(task.id);
-  standing_[task.id] = standing;
-  if (own != own_.end()) Refresh(&own->second, now);
-}
-
-void Backfill::Over(scheduling::RequestId id, Time now) {
-  const auto it = standing_.find(id);
-  if (it == standing_.end()) return;
-  const Standing standing = it->second;
-  standing_.erase(it);
-  Place& place = nodes_.at(standing.node);
-  place.tasks.erase(id);
-  place.used_cores -= standing.task.cores;
-  place.used_memory -= standing.task.memory;
-  if (place.tasks.empty()) place.used_cores = place.used_memory = 0;  // what rounding left over
-  if (standing.due > 0 && !standing.overstayed) Learn(standing.task.class_index, now > standing.due);
-  if (const auto own = own_.find(standing.node); own != own_.end()) Refresh(&own->second, now);
-}
-
-void Backfill::Learn(int class_index, bool late) {
+  if (running.gap_end > 0) ++counters_.backfilled;
+  entry->second.used_cores += task.cores;
+  entry->second.used_memory += task.memory;
+  entry->second.tasks.insert(task.id);
+  running_tasks_[task.id] = running;
+  if (own != reservations_.end()) RefreshReservation(&own->second, now);
+}
+
+void Backfill::OnTaskEnded(scheduling::RequestId id, Time now) {
+  const auto it = running_tasks_.find(id);
+  if (it == running_tasks_.end()) return;
+  const RunningTask running = it->second;
+  running_tasks_.erase(it);
+  NodeEntry& entry = nodes_.at(running.node);
+  entry.tasks.erase(id);
+  entry.used_cores -= running.task.cores;
+  entry.used_memory -= running.task.memory;
+  if (entry.tasks.empty()) entry.used_cores = entry.used_memory = 0;  // clears rounding errors
+  if (running.gap_end > 0 && !running.overran)
+    UpdateCorrection(running.task.class_index, now > running.gap_end);
+  if (const auto own = reservations_.find(running.node); own != reservations_.end())
+    RefreshReservation(&own->second, now);
+}
+
+void Backfill::UpdateCorrection(int class_index, bool overran) {
   const auto i = static_cast<std::size_t>(std::clamp(class_index, 0, 255));
-  if (stretch_.size() <= i) stretch_.resize(i + 1, 0);
-  const double q = QuantileOf(class_index);
-  stretch_[i] += terms_.stretch_step * (late ? q : q - 1);
-  stretch_[i] = std::clamp(stretch_[i], 0.0, std::log(terms_.most_stretch));
-  counters_.overstays += late;
+  if (log_corrections_.size() <= i) log_corrections_.resize(i + 1, 0);
+  const double q = RunTimeQuantile(class_index);
+  log_corrections_[i] += parameters_.correction_step * (overran ? q : q - 1);
+  log_corrections_[i] = std::clamp(log_corrections_[i], 0.0, std::log(parameters_.max_correction));
+  counters_.overruns += overran;
 }
 
-double Backfill::stretch(int class_index) const {
+double Backfill::correction_factor(int class_index) const {
   const auto i = static_cast<std::size_t>(std::clamp(class_index, 0, 255));
-  return i < stretch_.size() ? std::exp(stretch_[i]) : 1;
+  return i < log_corrections_.size() ? std::exp(log_corrections_[i]) : 1;
 }
 
-double Backfill::QuantileOf(int class_index) const {
+double Backfill::RunTimeQuantile(int class_index) const {
   const auto i = static_cast<std::size_t>(std::max(class_index, 0));
-  return i < terms_.quantile.size() ? terms_.quantile[i] : terms_.usual_quantile;
+  return i < parameters_.run_time_quantiles.size() ? parameters_.run_time_quantiles[i]
+                                                   : parameters_.default_run_time_quantile;
 }
 
-// --- What the module asks ---
+// --- Placement ---
 
-bool Backfill::MayGo(const Task& task, Time at, double spare_cores, double spare_memory, Time now) {
+bool Backfill::FitsGap(const Task& task, Time expected_start, double spare_cores, double spare_memory,
+                       Time now) {
   if (task.cores <= spare_cores && task.memory <= spare_memory) return true;
-  const Time gap = at - now;
-  if (gap >= terms_.least_gap) {
-    const Time lasts = lives_->Remaining(task, 0, QuantileOf(task.class_index), now);
-    if (static_cast<double>(lasts) * stretch(task.class_index) <= static_cast<double>(gap)) return true;
+  const Time gap = expected_start - now;
+  if (gap >= parameters_.min_gap) {
+    const Time run_time = predictor_->Remaining(task, 0, RunTimeQuantile(task.class_index), now);
+    if (static_cast<double>(run_time) * correction_factor(task.class_index) <= static_cast<double>(gap))
+      return true;
   }
-  ++counters_.held_off;
+  ++counters_.gap_rejections;
   return false;
 }
 
-bool Backfill::MayFill(NodeId node, const Task& task, Time now) {
-  const auto own = own_.find(node);
-  if (own != own_.end() && Usable(own->second, now)) {
+bool Backfill::AllowsStart(NodeId node, const Task& task, Time now) {
+  const auto own = reservations_.find(node);
+  if (own != reservations_.end() && IsActive(own->second, now)) {
     const Reservation& r = own->second;
-    if (r.task.id != task.id && !MayGo(task, r.at, r.spare_cores, r.spare_memory, now)) return false;
+    if (r.task.id != task.id && !FitsGap(task, r.expected_start, r.spare_cores, r.spare_memory, now))
+      return false;
   }
-  for (auto it = told_.lower_bound({node, 0}); it != told_.end() && it->first.first == node; ++it) {
-    const Told& told = it->second;
-    if (now < told.until && !MayGo(task, told.at, told.spare_cores, told.spare_memory, now)) return false;
+  for (auto it = announcements_.lower_bound({node, 0}); it != announcements_.end() && it->first.first == node;
+       ++it) {
+    const Announcement& other = it->second;
+    if (now < other.valid_until &&
+        !FitsGap(task, other.expected_start, other.spare_cores, other.spare_memory, now))
+      return false;
   }
   return true;
 }
 
-// --- What others hold ---
+// --- Announcements ---
 
-void Backfill::Hear(const Told& told, Time now) {
-  const auto key = std::pair{told.node, told.member};
-  const auto known = told_.find(key);
-  if (known != told_.end()) {
-    const Told& is = known->second;
-    if (std::pair{told.epoch, told.said} <= std::pair{is.epoch, is.said}) return;
+void Backfill::OnAnnouncement(const Announcement& announcement, Time now) {
+  const auto key = std::pair{announcement.node, announcement.member};
+  const auto known = announcements_.find(key);
+  if (known != announcements_.end()) {
+    const Announcement& stored = known->second;
+    if (std::pair{announcement.epoch, announcement.sent} <= std::pair{stored.epoch, stored.sent}) return;
   } else {
-    // A member that says more than its share, or of nodes that are not there, holds nobody off with it.
-    const auto its = std::ranges::count_if(
-        told_, [&](const auto& each) { return each.first.second == told.member && now < each.second.until; });
-    if (!nodes_.contains(told.node) || static_cast<std::size_t>(its) >= Share()) {
-      ++counters_.told_refused;
+    // Announcements above a member's limit or for unknown nodes are rejected, so that a faulty member cannot
+    // block more nodes than its share.
+    const auto count = std::ranges::count_if(announcements_, [&](const auto& each) {
+      return each.first.second == announcement.member && now < each.second.valid_until;
+    });
+    if (!nodes_.contains(announcement.node) || static_cast<std::size_t>(count) >= ReservationLimit()) {
+      ++counters_.announcements_rejected;
       return;
     }
   }
-  Told& is = told_[key] = told;
-  is.until = std::min(told.until, now + terms_.told_for + 2 * terms_.skew);
-}
-
-std::vector<Told> Backfill::Says(std::uint32_t member, Time now) const {
-  std::vector<Told> all;
-  for (const auto& [node, r] : own_) {
-    if (!Usable(r, now)) continue;
-    const Time until = r.ends == 0 ? now + terms_.told_for : std::min(r.ends, now + terms_.told_for);
-    all.push_back({member, node, r.epoch, now, r.at, until, r.spare_cores, r.spare_memory, r.task.id});
+  Announcement& stored = announcements_[key] = announcement;
+  stored.valid_until = std::min(announcement.valid_until,
+                                now + parameters_.announcement_lifetime + 2 * parameters_.max_clock_skew);
+}
+
+std::vector<Announcement> Backfill::BuildAnnouncements(std::uint32_t member, Time now) const {
+  std::vector<Announcement> all;
+  for (const auto& [node, r] : reservations_) {
+    if (!IsActive(r, now)) continue;
+    const Time valid_until = r.lease_end == 0
+                                 ? now + parameters_.announcement_lifetime
+                                 : std::min(r.lease_end, now + parameters_.announcement_lifetime);
+    all.push_back({member, node, r.epoch, now, r.expected_start, valid_until, r.spare_cores, r.spare_memory,
+                   r.task.id});
   }
   return all;
 }
 
-std::vector<Reservation> Backfill::Held(Time now) const {
+std::vector<Reservation> Backfill::ActiveReservations(Time now) const {
   std::vector<Reservation> all;
-  for (const auto& [node, r] : own_) {
-    if (Usable(r, now)) all.push_back(r);
+  for (const auto& [node, r] : reservations_) {
+    if (IsActive(r, now)) all.push_back(r);
   }
   return all;
 }
 
 std::vector<std::string> Backfill::Describe(Time now) const {
   std::vector<std::string> lines;
-  const auto seconds = [now](Time at) { return std::to_string((at - now) / kSecond) + " s"; };
-  for (const auto& [node, r] : own_) {
-    lines.push_back("node " + std::to_string(node) + " is held for task " + std::to_string(r.task.id) +
-                    ", room expected in " + seconds(r.at) + ", slipped " + std::to_string(r.slips) +
-                    " times" + (Usable(r, now) ? "" : ", waits for the right"));
+  const auto seconds_until = [now](Time at) { return std::to_string((at - now) / kSecond) + " s"; };
+  for (const auto& [node, r] : reservations_) {
+    lines.push_back("node " + std::to_string(node) + " is reserved for task " + std::to_string(r.task.id) +
+                    ", start expected in " + seconds_until(r.expected_start) + ", postponed " +
+                    std::to_string(r.postponements) + " times" +
+                    (IsActive(r, now) ? "" : ", waiting for the lease"));
   }
-  lines.push_back("backfill: " + std::to_string(waiting_.size()) + " large tasks wait, " +
-                  std::to_string(own_.size()) + " of at most " + std::to_string(Share()) + " reservations, " +
-                  std::to_string(counters_.fills) + " put into gaps, " + std::to_string(counters_.overstays) +
-                  " stayed too long, " + std::to_string(counters_.dropped[static_cast<int>(Why::kBroken)]) +
-                  " promises broken");
+  lines.push_back("backfill: " + std::to_string(waiting_tasks_.size()) + " large tasks waiting, " +
+                  std::to_string(reservations_.size()) + " of at most " + std::to_string(ReservationLimit()) +
+                  " reservations, " + std::to_string(counters_.backfilled) + " tasks backfilled, " +
+                  std::to_string(counters_.overruns) + " overruns, " +
+                  std::to_string(counters_.dropped[static_cast<int>(DropReason::kMissed)]) +
+                  " reservations missed");
   return lines;
 }
 
--- a/src/backfill/backfill.h
+++ b/src/backfill/backfill.h
@@ -1,38 +1,43 @@
-// Reservations of large tasks, and what may go into the gaps before them. Values in, values out: no clock,
-// thread or chance; `now` never goes back.
+// Reservations for large tasks, and backfill: which tasks may start in the gap before a reservation. All
+// functions are deterministic: the caller passes the time, which must never go back, and there is no clock,
+// thread or random number generator.
 //
-// It owns: nodes as listed, what stands on them, large tasks that wait, this member's reservations and those
-// it was told of. Who calls: whoever hears lists, starts and ends; the decision module asks MayFill before a
-// bind, as it asks the site plan, and ranks and binds as before. What empties its tables: Unlisted, Over,
-// NoLonger, the end of a reservation; each has a bound and a counter.
+// Backfill owns the listed nodes, the tasks that run on them, the large tasks that wait, the reservations of
+// this member and those that other members announced. It is fed by the code that observes endpoint lists and
+// starts and ends of tasks. The scheduling module calls AllowsStart before it places a task and ranks nodes
+// as without backfill. Entries are removed by RemoveNode, OnTaskEnded, RemoveWaitingTask and the end of a
+// reservation; each table has a limit and a counter.
 //
-// Ways weighed. EASY backfill holds one reservation, of the first in the queue: the best use of the gaps, but
-// the second large task may be put off without a bound. Conservative backfill holds one for every task that
-// waits: no one is put off, and every gap is cut into pieces by estimates that are wrong; its plan is made
-// anew at each end. Taken: one reservation a large task for the `most` longest waiting (in order of age,
-// so that a task's turn comes after finitely many others), none for small tasks: there are many nodes, and
-// only a share of them is ever held. EASY's second rule is kept: what fits beside the large task at
-// its time may go there however long it runs.
+// Policy. EASY backfill holds one reservation, for the first task in the queue: it uses gaps best, but the
+// second large task may be delayed without a bound. Conservative backfill holds one for every waiting task:
+// no task is delayed, but inaccurate estimates fragment the gaps, and its schedule is recomputed whenever a
+// task ends. This implementation holds one reservation for each of the longest waiting large tasks, at most
+// `max_reservations` (in order of age, so that each task is served after finitely many others), and none for
+// small tasks: there are many nodes, and only a fraction of them is ever reserved. As in EASY backfill, a
+// task that fits beside the large task at its expected start may start however long it runs.
 //
-// A reservation: the node on which room is expected first, and the time: when by the estimates of the tasks
-// that stand there enough of them are over. k of them have to be over at once, so each is asked at
-// quantile^(1/k). It waits for the right to the node (Rights), has no effect before, and is gone when the
-// right ends without renewal, `skew` early by the own clock.
+// A reservation has a node and an expected start. The node is the one on which enough capacity is expected
+// first, and the expected start is the time at which, by the estimates, enough of its running tasks have
+// ended. If k of them must have ended together, the quantile^(1/k) of each is used. A reservation waits for
+// the lease of its node (Leases) and has no effect before it is granted. It ends when the lease expires
+// without renewal, `max_clock_skew` early by the local clock.
 //
-// A small task may go there if its own class's quantile, times the class's stretch, is over before the time.
-// The stretch is learned: a filler that stays too long raises its logarithm by step * quantile, one that is
-// over in time lowers it by step * (1 - quantile); so in the long run as many overstay as the class's risk
-// says. It fades with time, for a class that fits into no gap any more would never be learned about again.
+// A small task may start in a gap if the quantile of its class, multiplied by the correction factor of the
+// class, ends before the expected start. The factor is learned: a backfilled task that overruns raises its
+// logarithm by step * quantile, one that ends in time lowers it by step * (1 - quantile), so that in the long
+// run the fraction of overruns is 1 - quantile. The logarithm decays with time, because nothing more would be
+// learned about a class whose factor excludes it from every gap.
 //
-// A wrong estimate: when the time has come without room, the reservation slips to the new expectation (the
-// tasks that stand are older now, and their remaining time is conditional on it), and the node takes fillers
-// only by it. After `most_slips`, or `longest` after it began, it is dropped and counted as broken; the task
-// goes on waiting with its age and is planned by a quantile nearer to 1 next time; the node rests for `rest`,
-// so that small tasks find it again. So a small task is kept off a node for at most `longest` at a time, and
-// the others are open to it meanwhile.
+// Wrong estimates: if the capacity is not free at the expected start, the reservation is postponed to the new
+// expectation (the remaining times are conditional on the ages of the tasks, which have grown), and tasks
+// are backfilled up to that time only. After `max_postponements`, or `max_reservation_time` after it was
+// created, the reservation is dropped and counted as missed. The task keeps its age in the queue and is
+// planned with a quantile nearer to 1 the next time; the node is not reserved for `node_cooldown`, so that
+// small tasks can use it again. A reservation thus keeps small tasks off a node for at most
+// `max_reservation_time` at a time, and the other nodes stay open to them.
 //
-// Dropped at once: the node drains, is cold, not listed any more or in a lost site, or the module's rules do
-// not allow the task there any more.
+// A reservation is dropped at once if its node drains, is cold, is no longer listed or is in a lost zone, or
+// if the placement constraints no longer allow the task there.
 #pragma once
 
 #include <cstdint>
@@ -43,180 +48,214 @@
 #include <utility>
 #include <vector>
 
-#include "backfill/rights.h"
+#include "backfill/leases.h"
 
 namespace cluster_manager::backfill {
 
 constexpr Time kMs = 1'000'000, kSecond = 1000 * kMs;
 
-struct Terms {
-  std::vector<double> quantile;   // by class: of what goes into a gap; 1 less its risk
-  double usual_quantile = 0.9;    // of classes not named
-  double room_quantile = 0.6;     // that the room is there at the time, of a first reservation
-  double large_share = 0.4;       // of the largest node's cores or memory, from which on a task is large
-  int members = 1;                // of the installation, that may all reserve
-  double most_share = 0.2;        // of the nodes, by all members together; each may have one at least
-  int most = 32;                  // reservations of this member
-  int most_waiting = 1024;        // large tasks
-  int nodes_a_look = 64;          // looked at for one task at a time
-  int most_slips = 8;             // of one reservation
-  Time longest = 1800 * kSecond;  // a reservation, with its slips
-  Time least_slip = 1 * kSecond;
-  Time rest = 10 * kSecond;          // of a node after a broken promise, or a right that did not come
-  Time patience = 300 * kMs;         // a large task waits for so long before it gets a reservation
-  Time least_gap = 500 * kMs;        // nothing more is put into a shorter one
-  Time skew = 200 * kMs;             // of clocks
-  Time renew = 2 * kSecond;          // before a right ends it is asked for again
-  Time want_again = 1 * kSecond;     // without an answer
-  Time give_up = 5 * kSecond;        // on a right that does not come
-  Time told_for = 10 * kSecond;      // what members say of reservations is good for so long
-  Time epochs_for = 3600 * kSecond;  // a node's highest epoch is kept after the last word; no right is longer
-  double stretch_step = 0.1, most_stretch = 8;
-  Time stretch_half = 3600 * kSecond;  // its logarithm fades by half, so that a class is tried again
+struct Parameters {
+  // By class: the quantile of the run time that has to fit into a gap; 1 less the accepted risk of an
+  // overrun.
+  std::vector<double> run_time_quantiles;
+  double default_run_time_quantile = 0.9;  // of classes that run_time_quantiles does not name
+  // The probability with which the capacity is to be free at the expected start of a first reservation.
+  double start_quantile = 0.6;
+  double large_fraction = 0.4;         // of the largest node's cores or memory, from which a task is large
+  int members = 1;                     // of the installation, all of which may reserve
+  double max_reserved_fraction = 0.2;  // of the nodes, by all members together; at least one per member
+  int max_reservations = 32;           // of this member
+  int max_waiting = 1024;              // large tasks
+  int nodes_per_search = 64;           // examined for one task in one update
+  int max_postponements = 8;           // of one reservation
+  Time max_reservation_time = 1800 * kSecond;  // of a reservation, postponements included
+  Time min_postponement = 1 * kSecond;
+  Time node_cooldown = 10 * kSecond;   // of a node after a missed reservation or a lease not granted
+  Time reservation_delay = 300 * kMs;  // for which a large task waits before it gets a reservation
+  Time min_gap = 500 * kMs;            // no task is backfilled into a shorter gap
+  Time max_clock_skew = 200 * kMs;
+  Time renewal_lead_time = 2 * kSecond;       // before a lease expires, its renewal is requested
+  Time request_retry_interval = 1 * kSecond;  // of lease requests without an answer
+  Time lease_wait_limit = 5 * kSecond;        // for a lease that is not granted
+  Time announcement_lifetime = 10 * kSecond;  // of the reservations that members announce
+  // For which a node's highest lease epoch is kept after the last message about it; no lease is longer.
+  Time epoch_retention = 3600 * kSecond;
+  double correction_step = 0.1, max_correction = 8;
+  // The logarithm of a correction factor halves in this time, so that a class is tried again.
+  Time correction_halving_period = 3600 * kSecond;
 };
 
 struct Node {
-  double cores = 0, memory = 0;  // that it takes in all
+  double cores = 0, memory = 0;  // total capacity
   int zone = 0;
-  bool ready = true;  // listed in service, neither draining nor cold
+  bool ready = true;  // listed as in service, neither draining nor cold
 };
 
-enum class Why { kPlaced, kNotWaiting, kNode, kSite, kRules, kRight, kBroken, kKinds };
-const char* Name(Why why);
+// Why a reservation ended. kStarted and kNotWaiting: its task no longer needs it; kMissed: the capacity was
+// not free in time.
+enum class DropReason {
+  kStarted,
+  kNotWaiting,
+  kNodeUnavailable,
+  kZoneLost,
+  kConstraints,
+  kNoLease,
+  kMissed,
+  kCount
+};
+// Text for the log.
+const char* ToString(DropReason reason);
 
+// Events since the start. advanced: expected starts moved to an earlier time; gap_rejections: reservations
+// that did not leave a gap for a task, in calls of AllowsStart.
 struct Counters {
-  std::uint64_t reserved = 0, slipped = 0, earlier = 0, fills = 0, overstays = 0, held_off = 0,
-                refused_full = 0, told_refused = 0;
-  std::uint64_t dropped[static_cast<int>(Why::kKinds)] = {};
+  std::uint64_t reservations = 0, postponements = 0, advanced = 0, backfilled = 0, overruns = 0,
+                gap_rejections = 0, waiting_rejected = 0, announcements_rejected = 0;
+  std::uint64_t dropped[static_cast<int>(DropReason::kCount)] = {};
 };
 
+// A reservation of this member: a node that is to be kept free for a large task.
 struct Reservation {
   NodeId node = 0;
   Task task;
-  Time begun = 0;
-  Time at = 0;        // when its room is expected
-  Time promised = 0;  // as it was expected at first
-  Time wanted_at = 0;
-  double spare_cores = 0, spare_memory = 0;  // beside the task at its time
-  std::uint64_t epoch = 0;
-  Time ends = 0;  // of the right; 0: an own node's, without end
-  bool held = false;
-  int slips = 0;
+  Time created = 0;
+  Time expected_start = 0;
+  Time first_expected_start = 0;  // as computed when the reservation was created
+  Time lease_requested = 0;
+  double spare_cores = 0, spare_memory = 0;  // left beside the task at its expected start
+  std::uint64_t epoch = 0;                   // of the lease
+  Time lease_end = 0;                        // 0: a guaranteed node, without end
+  bool has_lease = false;
+  int postponements = 0;
 };
 
-// What another member says of its reservation. Of two words of one reservation the one said later counts.
-struct Told {
+// A reservation of another member. Of two announcements for one reservation, the one sent later counts.
+struct Announcement {
   std::uint32_t member = 0;
   NodeId node = 0;
   std::uint64_t epoch = 0;
-  Time said = 0, at = 0, until = 0;  // until: good for so long; not after `said`: it is over
+  // `valid_until` at or before `sent` cancels the reservation.
+  Time sent = 0, expected_start = 0, valid_until = 0;
   double spare_cores = 0, spare_memory = 0;
-  scheduling::RequestId task = 0;  // whose it is
+  scheduling::RequestId task = 0;  // for which the node is reserved
 };
 
+// Not thread-safe.
 class Backfill {
  public:
-  // All three outlive it.
-  Backfill(Terms terms, Rights* rights, Lives* lives, const Rules* rules);
-
-  // --- What is seen ---
-  void Listed(NodeId node, const Node& as, Time now);
-  void Unlisted(NodeId node, Time now);
-  void SiteLost(int zone, bool lost, Time now);
-  // Own tasks and all others known of; only own ones teach how far their class is to be trusted in gaps, for
-  // what others were told when they let theirs in is not known here.
-  void Stands(const Task& task, NodeId node, Time since, Time now, bool own = true);
-  void Over(scheduling::RequestId id, Time now);
-  // Spread, or another rule of the module, has changed for the node.
-  void Changed(NodeId node, Time now);
+  // `leases`, `predictor` and `constraints` must outlive this object.
+  Backfill(Parameters parameters, Leases* leases, RunTimePredictor* predictor,
+           const PlacementConstraints* constraints);
+
+  // --- Observations ---
+  void UpdateNode(NodeId node, const Node& state, Time now);
+  void RemoveNode(NodeId node, Time now);
+  void SetZoneLost(int zone, bool lost, Time now);
+  // To be called for the tasks of all members. Only own tasks train the correction factors: which gap another
+  // member started its task into is not known here.
+  void OnTaskStarted(const Task& task, NodeId node, Time since, Time now, bool own = true);
+  void OnTaskEnded(scheduling::RequestId id, Time now);
+  // The spread or another placement constraint of the node has changed.
+  void OnConstraintsChanged(NodeId node, Time now);
 
   // --- Large tasks ---
-  // It found no room. False where it is not large, or too many wait: it waits as without backfill.
-  bool Waits(const Task& task, Time now);
-  void NoLonger(scheduling::RequestId id, bool placed, Time now);
-  // The node held for it, to be bound to as soon as it has room.
-  std::optional<NodeId> HeldFor(scheduling::RequestId id, Time now) const;
-
-  // --- What the module asks ---
-  bool MayFill(NodeId node, const Task& task, Time now);
-
-  // --- Rights, and what others hold ---
-  void Granted(NodeId node, std::uint64_t epoch, Time ends, Time now);
-  void Lost(NodeId node, std::uint64_t epoch, Time now);
-  void Hear(const Told& told, Time now);
-  std::vector<Told> Says(std::uint32_t member, Time now) const;  // of own reservations
-
-  // To be called every 100 ms or so: reservations begin, slip, end. Returns lines for the log.
-  std::vector<std::string> Look(Time now);
+  // Adds a task that found no node with enough capacity. Returns false if it is not large or too many tasks
+  // wait; it then waits as without backfill.
+  bool AddWaitingTask(const Task& task, Time now);
+  void RemoveWaitingTask(scheduling::RequestId id, bool started, Time now);
+  // The node reserved for the task, on which it is to be placed as soon as there is enough capacity.
+  std::optional<NodeId> ReservedNode(scheduling::RequestId id, Time now) const;
+
+  // --- Placement ---
+  // Whether no reservation on the node prevents the task from starting there now.
+  bool AllowsStart(NodeId node, const Task& task, Time now);
+
+  // --- Leases and reservations of other members ---
+  void OnLeaseGranted(NodeId node, std::uint64_t epoch, Time lease_end, Time now);
+  // The lease was refused or revoked.
+  void OnLeaseLost(NodeId node, std::uint64_t epoch, Time now);
+  void OnAnnouncement(const Announcement& announcement, Time now);
+  // Announcements of the own active reservations, to be sent to the other members.
+  std::vector<Announcement> BuildAnnouncements(std::uint32_t member, Time now) const;
+
+  // To be called about every 100 ms: creates, postpones and drops reservations. Returns lines for the log.
+  std::vector<std::string> Update(Time now);
   std::vector<std::string> Describe(Time now) const;  // for SIGUSR1
-  // Own reservations with a right that may be used now.
-  std::vector<Reservation> Held(Time now) const;
+  // The own reservations whose lease is valid now.
+  std::vector<Reservation> ActiveReservations(Time now) const;
   const Counters& counters() const { return counters_; }
-  double stretch(int class_index) const;
+  // By which the run-time quantile of the class is multiplied: from 1 to max_correction.
+  double correction_factor(int class_index) const;
+  // Whether the task needs at least `large_fraction` of the largest node's cores or memory.
   bool IsLarge(const Task& task) const;
 
  private:
-  struct Standing {
+  struct RunningTask {
     Task task;
     NodeId node = 0;
     Time since = 0;
-    Time due = 0;  // a filler: the time of the reservation it went before; 0: none
-    bool overstayed = false;
+    Time gap_end = 0;  // of a backfilled task: the expected start of the reservation; 0: not backfilled
+    bool overran = false;
   };
-  struct Place {
-    Node as;
+  struct NodeEntry {
+    Node state;
     double used_cores = 0, used_memory = 0;
     std::set<scheduling::RequestId> tasks;
-    Time rests_until = 0;
+    Time cooldown_until = 0;
   };
-  struct Waiting {
+  struct WaitingTask {
     Task task;
     Time since = 0;
-    int broken = 0;
-    NodeId turn = 0;  // where its next look begins
+    int missed_reservations = 0;
+    NodeId next_node = 0;  // where the next search begins
   };
-  struct Plan {
-    Time at = 0;
+  struct StartPrediction {
+    Time expected_start = 0;
     double spare_cores = 0, spare_memory = 0;
   };
-  double QuantileOf(int class_index) const;
-  bool MayReserve(NodeId node, const Place& place, const Task& task, Time now) const;
-  bool Fits(const Place& place, const Task& task) const;
-  // None where the task can never stand there.
-  std::optional<Plan> Expect(const Place& place, const Task& task, double quantile, Time now);
-  bool Begin(Waiting* waiting, Time now);
-  // Room has come sooner, or a filler has taken of what is spare.
-  void Refresh(Reservation* reservation, Time now);
-  void Slip(Reservation* reservation, Time now);
-  void Drop(NodeId node, Why why, Time now);
-  bool Usable(const Reservation& r, Time now) const;
-  bool MayGo(const Task& task, Time at, double spare_cores, double spare_memory, Time now);
-  void Learn(int class_index, bool late);
-  std::size_t Share() const;  // reservations that one member may have
-  double RoomQuantile(const Waiting& waiting) const;
-
-  Terms terms_;
-  Rights* rights_;
-  Lives* lives_;
-  const Rules* rules_;
-  std::map<NodeId, Place> nodes_;
-  std::map<scheduling::RequestId, Standing> standing_;
-  std::map<scheduling::RequestId, Waiting> waiting_;
-  std::vector<scheduling::RequestId> by_age_;
-  std::map<NodeId, Reservation> own_;
-  std::map<scheduling::RequestId, NodeId> node_of_;
-  std::map<std::pair<NodeId, std::uint32_t>, Told> told_;  // by node and member
-  std::set<int> lost_sites_;
-  struct Seen {  // the highest epoch of any word on a right: what is older is passed over
+  double RunTimeQuantile(int class_index) const;
+  bool CanReserve(NodeId node, const NodeEntry& entry, const Task& task, Time now) const;
+  bool HasCapacity(const NodeEntry& entry, const Task& task) const;
+  // None if the node is too small for the task.
+  std::optional<StartPrediction> PredictStart(const NodeEntry& entry, const Task& task, double quantile,
+                                              Time now);
+  bool CreateReservation(WaitingTask* waiting, Time now);
+  // Recomputes the expected start and the spare capacity after a task started or ended on the node. The
+  // expected start only ever moves to an earlier time here.
+  void RefreshReservation(Reservation* reservation, Time now);
+  // Moves the expected start to a later time, or drops the reservation if a limit is reached.
+  void PostponeReservation(Reservation* reservation, Time now);
+  void DropReservation(NodeId node, DropReason reason, Time now);
+  bool IsActive(const Reservation& r, Time now) const;
+  // Whether the task fits beside the reserved one or ends before its expected start.
+  bool FitsGap(const Task& task, Time expected_start, double spare_cores, double spare_memory, Time now);
+  void UpdateCorrection(int class_index, bool overran);
+  std::size_t ReservationLimit() const;  // of one member
+  double StartQuantile(const WaitingTask& waiting) const;
+
+  Parameters parameters_;
+  Leases* leases_;
+  RunTimePredictor* predictor_;
+  const PlacementConstraints* constraints_;
+  std::map<NodeId, NodeEntry> nodes_;
+  std::map<scheduling::RequestId, RunningTask> running_tasks_;
+  std::map<scheduling::RequestId, WaitingTask> waiting_tasks_;
+  std::vector<scheduling::RequestId> waiting_by_age_;
+  std::map<NodeId, Reservation> reservations_;
+  std::map<scheduling::RequestId, NodeId> reserved_nodes_;                  // by task
+  std::map<std::pair<NodeId, std::uint32_t>, Announcement> announcements_;  // by node and member
+  std::set<int> lost_zones_;
+  struct LeaseEpoch {  // the highest epoch of any message about the lease; messages with older ones are
+                       // ignored
     std::uint64_t epoch = 0;
-    Time at = 0;
+    Time received = 0;
   };
-  std::map<NodeId, Seen> seen_;
-  std::vector<double> stretch_;  // by class, logarithms
-  Time faded_at_ = 0;
+  std::map<NodeId, LeaseEpoch> lease_epochs_;
+  std::vector<double> log_corrections_;  // natural logarithms of the correction factors, by class
+  Time last_decay_ = 0;
   double largest_cores_ = 0, largest_memory_ = 0;
   Counters counters_;
-  std::vector<std::string> log_;
+  std::vector<std::string> log_lines_;
 };
 
 }  // namespace cluster_manager::backfill
--- a/tests/backfill_test.cpp
+++ b/tests/backfill_test.cpp
@@ -1,5 +1,5 @@
-// Reservations and gaps in virtual time: what may go where, how estimates that are wrong are borne and
-// learned from, and that no gap is ever two members'.
+// Reservations and backfill in virtual time: which tasks may start in which gaps, postponement and correction
+// when run-time estimates are wrong, announcements of other members, and starvation of large tasks.
 #include "backfill/backfill.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 
 constexpr Time kStart = Time{1'700'000'000} * kSecond;
 
-Task Of(scheduling::RequestId id, double cores, int class_index = 0) {
+Task MakeTask(scheduling::RequestId id, double cores, int class_index = 0) {
   Task task;
   task.id = id;
   task.cores = cores;
@@ -24,203 +24,216 @@
   return task;
 }
 
-struct Own : Rights {
-  Part part = Part::kOwn;
-  std::vector<NodeId> wanted;
-  std::vector<std::uint64_t> given_back;
-  Part Of(NodeId) const override { return part; }
-  void Want(NodeId node, Time, Time) override { wanted.push_back(node); }
-  void GiveBack(NodeId, std::uint64_t epoch) override { given_back.push_back(epoch); }
+struct FakeLeases : Leases {
+  Access access = Access::kGuaranteed;
+  std::vector<NodeId> requested;
+  std::vector<std::uint64_t> released;
+  Access AccessTo(NodeId) const override { return access; }
+  void Request(NodeId node, Time, Time) override { requested.push_back(node); }
+  void Release(NodeId, std::uint64_t epoch) override { released.push_back(epoch); }
 };
-struct Fixed : Lives {  // by id: it lasts so long, whatever the quantile
-  std::map<scheduling::RequestId, Time> lasts;
-  Time usual = 10 * kSecond;
-  Time Remaining(const Task& task, Time ran_for, double, Time) override {
-    const auto it = lasts.find(task.id);
-    return std::max<Time>((it == lasts.end() ? usual : it->second) - ran_for, 0);
+struct FixedRunTimes : RunTimePredictor {  // by task id, whatever the quantile
+  std::map<scheduling::RequestId, Time> run_times;
+  Time default_run_time = 10 * kSecond;
+  Time Remaining(const Task& task, Time elapsed, double, Time) override {
+    const auto it = run_times.find(task.id);
+    return std::max<Time>((it == run_times.end() ? default_run_time : it->second) - elapsed, 0);
   }
 };
-struct Any : Rules {
+struct FakeConstraints : PlacementConstraints {
   std::set<NodeId> forbidden;
-  bool MayStand(NodeId node, const Task&, Time) const override { return !forbidden.contains(node); }
+  bool Allows(NodeId node, const Task&, Time) const override { return !forbidden.contains(node); }
 };
 
-// Four nodes of ten cores; node i has a task that ends in 20 + 10 i seconds, and room for two cores.
-struct Four {
-  Own rights;
-  Fixed lives;
-  Any rules;
+// Four nodes of ten cores; on node i a task of eight cores runs that ends in 20 + 10 i seconds.
+struct FourNodes {
+  FakeLeases leases;
+  FixedRunTimes predictor;
+  FakeConstraints constraints;
   Time now = kStart;
   Backfill backfill;
-  explicit Four(Terms terms = {}) : backfill(terms, &rights, &lives, &rules) {
+  explicit FourNodes(Parameters parameters = {}) : backfill(parameters, &leases, &predictor, &constraints) {
     for (NodeId node = 0; node < 4; ++node) {
-      backfill.Listed(node, {10, 10, static_cast<int>(node % 2), true}, now);
-      lives.lasts[node] = (20 + 10 * node) * kSecond;
-      backfill.Stands(Of(node, 8), node, now, now);
+      backfill.UpdateNode(node, {10, 10, static_cast<int>(node % 2), true}, now);
+      predictor.run_times[node] = (20 + 10 * node) * kSecond;
+      backfill.OnTaskStarted(MakeTask(node, 8), node, now, now);
     }
   }
   void Run(Time length) {
-    for (const Time end = now + length; now < end;) backfill.Look(now += 100 * kMs);
+    for (const Time end = now + length; now < end;) backfill.Update(now += 100 * kMs);
+  }
+  std::uint64_t Dropped(DropReason reason) const {
+    return backfill.counters().dropped[static_cast<int>(reason)];
   }
-  std::uint64_t Dropped(Why why) const { return backfill.counters().dropped[static_cast<int>(why)]; }
 };
 
-TEST_CASE_FIXTURE(Four,
-                  "a large task gets the node where room is expected first, and small ones only its gap") {
-  CHECK_FALSE(backfill.Waits(Of(50, 2), now));  // no large one
-  REQUIRE(backfill.Waits(Of(100, 8), now));
+TEST_CASE_FIXTURE(
+    FourNodes,
+    "a large task gets the node with the earliest expected start and small tasks only the gap before it") {
+  CHECK_FALSE(backfill.AddWaitingTask(MakeTask(50, 2), now));  // not large
+  REQUIRE(backfill.AddWaitingTask(MakeTask(100, 8), now));
   Run(kSecond);
-  REQUIRE(backfill.HeldFor(100, now) == std::optional<NodeId>{0});
-  lives.lasts[60] = 18 * kSecond;
-  lives.lasts[61] = 30 * kSecond;
-  CHECK(backfill.MayFill(0, Of(60, 2), now));
-  CHECK(backfill.MayFill(0, Of(61, 2), now));        // beside it: two cores are spare at its time
-  CHECK_FALSE(backfill.MayFill(0, Of(61, 3), now));  // not beside it, and not over before
-  CHECK(backfill.MayFill(0, Of(60, 3), now));
-  CHECK(backfill.MayFill(1, Of(61, 3), now));   // no reservation there
-  CHECK(backfill.MayFill(0, Of(100, 8), now));  // itself
-  backfill.Stands(Of(61, 2), 0, now, now);      // takes what is spare
-  CHECK_FALSE(backfill.MayFill(0, Of(62, 0.1), now + 12 * kSecond));
-  backfill.NoLonger(100, true, now);
-  CHECK(backfill.MayFill(0, Of(61, 3), now));
-  CHECK(Dropped(Why::kPlaced) == 1);
+  REQUIRE(backfill.ReservedNode(100, now) == std::optional<NodeId>{0});
+  predictor.run_times[60] = 18 * kSecond;
+  predictor.run_times[61] = 30 * kSecond;
+  CHECK(backfill.AllowsStart(0, MakeTask(60, 2), now));
+  CHECK(backfill.AllowsStart(0, MakeTask(61, 2), now));  // fits beside the large task: two cores are spare
+  // Neither fits beside it nor ends before its start.
+  CHECK_FALSE(backfill.AllowsStart(0, MakeTask(61, 3), now));
+  CHECK(backfill.AllowsStart(0, MakeTask(60, 3), now));
+  CHECK(backfill.AllowsStart(1, MakeTask(61, 3), now));   // no reservation on this node
+  CHECK(backfill.AllowsStart(0, MakeTask(100, 8), now));  // the large task itself
+  backfill.OnTaskStarted(MakeTask(61, 2), 0, now, now);   // takes the spare cores
+  CHECK_FALSE(backfill.AllowsStart(0, MakeTask(62, 0.1), now + 12 * kSecond));
+  backfill.RemoveWaitingTask(100, true, now);
+  CHECK(backfill.AllowsStart(0, MakeTask(61, 3), now));
+  CHECK(Dropped(DropReason::kStarted) == 1);
 }
 
-TEST_CASE("a drain, a cold node, a lost site, a rule, and an end of the list: not held from that moment on") {
-  for (int way = 0; way < 5; ++way) {
-    Four four;
-    four.backfill.Waits(Of(100, 8), four.now);
-    four.Run(kSecond);
-    REQUIRE(four.backfill.HeldFor(100, four.now).has_value());
-    four.rules.forbidden = {0};
-    if (way == 0) four.backfill.Listed(0, {10, 10, 0, false}, four.now);
-    if (way == 1) four.backfill.Unlisted(0, four.now);
-    if (way == 2) four.backfill.SiteLost(0, true, four.now);
-    if (way == 3) four.backfill.Changed(0, four.now);
-    if (way == 4) four.backfill.Listed(0, {4, 4, 0, true}, four.now);
-    CHECK_FALSE(four.backfill.HeldFor(100, four.now).has_value());
-    CHECK(four.backfill.MayFill(0, Of(61, 3), four.now));
-    four.Run(kSecond);
-    CHECK(four.backfill.HeldFor(100, four.now) == std::optional<NodeId>{1});  // and the next best is taken
+TEST_CASE(
+    "a reservation is dropped at once when its node drains or is removed or its zone is lost or a constraint "
+    "forbids the task or the node shrinks") {
+  for (int event = 0; event < 5; ++event) {
+    FourNodes fixture;
+    fixture.backfill.AddWaitingTask(MakeTask(100, 8), fixture.now);
+    fixture.Run(kSecond);
+    REQUIRE(fixture.backfill.ReservedNode(100, fixture.now).has_value());
+    fixture.constraints.forbidden = {0};
+    if (event == 0) fixture.backfill.UpdateNode(0, {10, 10, 0, false}, fixture.now);
+    if (event == 1) fixture.backfill.RemoveNode(0, fixture.now);
+    if (event == 2) fixture.backfill.SetZoneLost(0, true, fixture.now);
+    if (event == 3) fixture.backfill.OnConstraintsChanged(0, fixture.now);
+    if (event == 4) fixture.backfill.UpdateNode(0, {4, 4, 0, true}, fixture.now);
+    CHECK_FALSE(fixture.backfill.ReservedNode(100, fixture.now).has_value());
+    CHECK(fixture.backfill.AllowsStart(0, MakeTask(61, 3), fixture.now));
+    fixture.Run(kSecond);
+    CHECK(fixture.backfill.ReservedNode(100, fixture.now) == std::optional<NodeId>{1});  // the next best node
   }
 }
 
-TEST_CASE("an estimate that stays wrong costs a bounded time: slips, then the node is free again and rests") {
-  Terms terms;
-  terms.most_slips = 4;
-  Four four(terms);
-  four.lives.lasts.clear();
-  four.lives.usual = 5 * kSecond;  // says so of all; they last for ever
-  four.backfill.Waits(Of(100, 8), four.now);
-  four.Run(5 * kSecond);
-  REQUIRE(four.backfill.HeldFor(100, four.now).has_value());
-  const NodeId held = *four.backfill.HeldFor(100, four.now);
-  four.Run(10 * kSecond);
-  CHECK(four.backfill.counters().slipped <= 4 * four.backfill.counters().reserved);
-  CHECK(four.Dropped(Why::kBroken) >= 1);
-  CHECK(four.backfill.HeldFor(100, four.now) != std::optional<NodeId>{held});
-  CHECK(four.backfill.MayFill(held, Of(61, 3), four.now));
+TEST_CASE(
+    "with estimates that stay wrong a reservation is postponed a limited number of times and then dropped") {
+  Parameters parameters;
+  parameters.max_postponements = 4;
+  FourNodes fixture(parameters);
+  fixture.predictor.run_times.clear();
+  fixture.predictor.default_run_time = 5 * kSecond;  // predicted for all tasks, none of which ends
+  fixture.backfill.AddWaitingTask(MakeTask(100, 8), fixture.now);
+  fixture.Run(5 * kSecond);
+  REQUIRE(fixture.backfill.ReservedNode(100, fixture.now).has_value());
+  const NodeId reserved = *fixture.backfill.ReservedNode(100, fixture.now);
+  fixture.Run(10 * kSecond);
+  CHECK(fixture.backfill.counters().postponements <= 4 * fixture.backfill.counters().reservations);
+  CHECK(fixture.Dropped(DropReason::kMissed) >= 1);
+  CHECK(fixture.backfill.ReservedNode(100, fixture.now) != std::optional<NodeId>{reserved});
+  CHECK(fixture.backfill.AllowsStart(reserved, MakeTask(61, 3), fixture.now));
 }
 
-TEST_CASE("fillers that last twice what is estimated: the stretch grows until the class's risk is kept") {
-  Terms terms;
-  terms.quantile = {0.8};
-  terms.room_quantile = 0.999;
+TEST_CASE(
+    "the correction factor grows until tasks that run twice as long as estimated keep the risk of their "
+    "class") {
+  Parameters parameters;
+  parameters.run_time_quantiles = {0.8};
+  parameters.start_quantile = 0.999;
   pcg32 random(1);
-  Four four(terms);
-  struct Skewed : Lives {  // exponential of mean 10 s, told as of 5 s
+  FourNodes fixture(parameters);
+  struct BiasedRunTimes : RunTimePredictor {  // exponential with mean 5 s, where the actual mean is 10 s
     Time Remaining(const Task&, Time, double q, Time) override {
       return static_cast<Time>(-std::log(1 - q) * 5e9);
     }
-  } lives;
-  Backfill backfill(terms, &four.rights, &lives, &four.rules);
-  backfill.Listed(0, {10, 10, 0, true}, four.now);
-  backfill.Stands(Of(1, 10), 0, four.now, four.now);
-  Time now = four.now;
-  int late = 0, all = 0;
+  } predictor;
+  Backfill backfill(parameters, &fixture.leases, &predictor, &fixture.constraints);
+  backfill.UpdateNode(0, {10, 10, 0, true}, fixture.now);
+  backfill.OnTaskStarted(MakeTask(1, 10), 0, fixture.now, fixture.now);
+  Time now = fixture.now;
+  int overruns = 0, all = 0;
   for (scheduling::RequestId id = 100; id < 4000; ++id) {
-    backfill.Waits(Of(2, 10), now);
-    for (int i = 0; i < 10; ++i) backfill.Look(now += 100 * kMs);
-    const auto held = backfill.Held(now);
-    if (held.empty()) continue;
-    // As late as it just may: the gap is then exactly its quantile, which is how the risk is defined.
-    const Time need =
-        static_cast<Time>(static_cast<double>(lives.Remaining({}, 0, 0.8, now)) * backfill.stretch(0));
-    if (need > held[0].at - now) {
+    backfill.AddWaitingTask(MakeTask(2, 10), now);
+    for (int i = 0; i < 10; ++i) backfill.Update(now += 100 * kMs);
+    const auto reservations = backfill.ActiveReservations(now);
+    if (reservations.empty()) continue;
+    // The task starts as late as it may, so that the gap equals the corrected quantile and the probability of
+    // an overrun equals the risk.
+    const Time required_gap = static_cast<Time>(static_cast<double>(predictor.Remaining({}, 0, 0.8, now)) *
+                                                backfill.correction_factor(0));
+    if (required_gap > reservations[0].expected_start - now) {
       now += 10 * kSecond;
-      backfill.NoLonger(2, false, now);
+      backfill.RemoveWaitingTask(2, false, now);
       continue;
     }
-    const Time at = held[0].at - need,
+    const Time at = reservations[0].expected_start - required_gap,
                ends = at + static_cast<Time>(-std::log(1 - random(1000) / 1000.0) * 10e9);
-    backfill.Stands(Of(id, 1), 0, at, at);
-    const bool overstays = ends > held[0].at;
-    backfill.NoLonger(2, false, at);
-    backfill.Over(id, now = std::max(now, ends));
-    if (id > 1000) late += overstays, ++all;
+    backfill.OnTaskStarted(MakeTask(id, 1), 0, at, at);
+    const bool overrun = ends > reservations[0].expected_start;
+    backfill.RemoveWaitingTask(2, false, at);
+    backfill.OnTaskEnded(id, now = std::max(now, ends));
+    if (id > 1000) overruns += overrun, ++all;
   }
   REQUIRE(all > 1000);
-  CHECK(static_cast<double>(late) / all == doctest::Approx(0.2).epsilon(0.25));  // 0.45 were it not learned
-  CHECK(backfill.stretch(0) == doctest::Approx(2).epsilon(0.5));
+  // 0.45 without correction.
+  CHECK(static_cast<double>(overruns) / all == doctest::Approx(0.2).epsilon(0.25));
+  CHECK(backfill.correction_factor(0) == doctest::Approx(2).epsilon(0.5));
 }
 
-TEST_CASE("a member that claims every node holds small tasks off no more than its share, and not for long") {
-  Terms terms;
-  terms.most_share = 0.5;
-  terms.members = 2;
-  Four four(terms);
+TEST_CASE(
+    "a member that announces every node blocks no more nodes than its share and only for a limited time") {
+  Parameters parameters;
+  parameters.max_reserved_fraction = 0.5;
+  parameters.members = 2;
+  FourNodes fixture(parameters);
   for (NodeId node = 0; node < 1000; ++node) {
-    four.backfill.Hear(
-        {3, node, ~std::uint64_t{0}, four.now, four.now + kSecond, four.now + (Time{1} << 60), 0, 0},
-        four.now);
+    fixture.backfill.OnAnnouncement(
+        {3, node, ~std::uint64_t{0}, fixture.now, fixture.now + kSecond, fixture.now + (Time{1} << 60), 0, 0},
+        fixture.now);
   }
-  const auto kept_off = [&] {
-    int n = 0;
-    for (NodeId node = 0; node < 4; ++node) n += !four.backfill.MayFill(node, Of(61, 3), four.now);
-    return n;
+  const auto blocked_nodes = [&] {
+    int blocked = 0;
+    for (NodeId node = 0; node < 4; ++node)
+      blocked += !fixture.backfill.AllowsStart(node, MakeTask(61, 3), fixture.now);
+    return blocked;
   };
-  CHECK(kept_off() == 1);
-  CHECK(four.backfill.counters().told_refused == 999);
-  four.Run(11 * kSecond);
-  CHECK(kept_off() == 0);
+  CHECK(blocked_nodes() == 1);
+  CHECK(fixture.backfill.counters().announcements_rejected == 999);
+  fixture.Run(11 * kSecond);
+  CHECK(blocked_nodes() == 0);
 }
 
-TEST_CASE("a word said earlier or of an older epoch does not bring a reservation back") {
-  Four four;
-  const Told held{3, 1, 7, four.now, four.now + kSecond, four.now + 9 * kSecond, 0, 0};
-  Told over = held;
-  over.said = over.until = four.now + 100 * kMs;
-  four.now += 200 * kMs;
-  four.backfill.Hear(held, four.now);
-  CHECK_FALSE(four.backfill.MayFill(1, Of(61, 3), four.now));
-  four.backfill.Hear(over, four.now);
+TEST_CASE("an announcement sent earlier does not restore a cancelled reservation") {
+  FourNodes fixture;
+  const Announcement active{3, 1, 7, fixture.now, fixture.now + kSecond, fixture.now + 9 * kSecond, 0, 0};
+  Announcement cancelled = active;
+  cancelled.sent = cancelled.valid_until = fixture.now + 100 * kMs;
+  fixture.now += 200 * kMs;
+  fixture.backfill.OnAnnouncement(active, fixture.now);
+  CHECK_FALSE(fixture.backfill.AllowsStart(1, MakeTask(61, 3), fixture.now));
+  fixture.backfill.OnAnnouncement(cancelled, fixture.now);
   for (int doubled = 0; doubled < 2; ++doubled) {
-    four.backfill.Hear(held, four.now);
-    CHECK(four.backfill.MayFill(1, Of(61, 3), four.now));
+    fixture.backfill.OnAnnouncement(active, fixture.now);
+    CHECK(fixture.backfill.AllowsStart(1, MakeTask(61, 3), fixture.now));
   }
 }
 
-TEST_CASE("no large task starves beside an endless stream of small ones, and small ones go on being placed") {
-  for (const bool on : {false, true}) {
+TEST_CASE("no large task starves beside a constant stream of small ones and small ones are still placed") {
+  for (const bool enabled : {false, true}) {
     pcg32 random(11);
-    Own rights;
-    Fixed lives;
-    Any rules;
-    Terms terms;
-    Backfill backfill(terms, &rights, &lives, &rules);
+    FakeLeases leases;
+    FixedRunTimes predictor;
+    FakeConstraints constraints;
+    Parameters parameters;
+    Backfill backfill(parameters, &leases, &predictor, &constraints);
     constexpr NodeId kNodes = 6;
     std::vector<double> free(kNodes, 10);
-    for (NodeId node = 0; node < kNodes; ++node) backfill.Listed(node, {10, 10, 0, true}, kStart);
+    for (NodeId node = 0; node < kNodes; ++node) backfill.UpdateNode(node, {10, 10, 0, true}, kStart);
     std::multimap<Time, std::pair<Task, NodeId>> ends;
-    std::map<scheduling::RequestId, Time> large;  // waits since
+    std::map<scheduling::RequestId, Time> waiting_large;  // by task id, waiting since
     Time now = kStart, longest_wait = 0;
-    int placed = 0, small = 0;
+    int large_placements = 0, small_placements = 0;
     scheduling::RequestId next = 1;
     const auto place = [&](const Task& task, NodeId node) {
       free[node] -= task.cores;
-      lives.lasts[task.id] = (2 + random(16)) * kSecond;
-      backfill.Stands(task, node, now, now);
-      ends.emplace(now + lives.lasts[task.id], std::pair{task, node});
+      predictor.run_times[task.id] = (2 + random(16)) * kSecond;
+      backfill.OnTaskStarted(task, node, now, now);
+      ends.emplace(now + predictor.run_times[task.id], std::pair{task, node});
     };
     while (now < kStart + 1500 * kSecond) {
       now += 100 * kMs;
@@ -228,38 +241,39 @@
         const auto [task, node] = ends.begin()->second;
         ends.erase(ends.begin());
         free[node] += task.cores;
-        backfill.Over(task.id, now);
+        backfill.OnTaskEnded(task.id, now);
       }
-      if (now < kStart + 1200 * kSecond && random(150) == 0) large[next++] = now;
-      for (auto it = large.begin(); it != large.end();) {
-        const Task task = Of(it->first, 9);
-        const auto held = on ? backfill.HeldFor(task.id, now) : std::nullopt;
+      if (now < kStart + 1200 * kSecond && random(150) == 0) waiting_large[next++] = now;
+      for (auto it = waiting_large.begin(); it != waiting_large.end();) {
+        const Task task = MakeTask(it->first, 9);
+        const auto reserved = enabled ? backfill.ReservedNode(task.id, now) : std::nullopt;
         NodeId node = 0;
-        while (node < kNodes && (free[node] < 9 || (held && node != *held))) ++node;
-        if (node < kNodes && backfill.MayFill(node, task, now)) {
+        while (node < kNodes && (free[node] < 9 || (reserved && node != *reserved))) ++node;
+        if (node < kNodes && backfill.AllowsStart(node, task, now)) {
           longest_wait = std::max(longest_wait, now - it->second);
-          ++placed;
-          backfill.NoLonger(task.id, true, now);
+          ++large_placements;
+          backfill.RemoveWaitingTask(task.id, true, now);
           place(task, node);
-          it = large.erase(it);
+          it = waiting_large.erase(it);
         } else {
-          if (on) backfill.Waits(task, now);
+          if (enabled) backfill.AddWaitingTask(task, now);
           ++it;
         }
       }
-      for (int tries = 0; tries < 8; ++tries) {  // always more than there is room for
-        const Task task = Of(next, 1 + random(2));
+      for (int attempt = 0; attempt < 8; ++attempt) {  // more demand than capacity at all times
+        const Task task = MakeTask(next, 1 + random(2));
         const NodeId node = random(kNodes);
-        lives.lasts[task.id] = 18 * kSecond;
-        if (free[node] < task.cores || !backfill.MayFill(node, task, now)) continue;
+        predictor.run_times[task.id] = 18 * kSecond;
+        if (free[node] < task.cores || !backfill.AllowsStart(node, task, now)) continue;
         place(task, node);
-        ++next, ++small;
+        ++next, ++small_placements;
       }
-      backfill.Look(now);
+      backfill.Update(now);
     }
-    CHECK((on ? large.empty() : large.size() > 10 * static_cast<std::size_t>(placed)));
-    if (on) CHECK(longest_wait < 200 * kSecond);
-    CHECK(small > 2000);
+    CHECK((enabled ? waiting_large.empty()
+                   : waiting_large.size() > 10 * static_cast<std::size_t>(large_placements)));
+    if (enabled) CHECK(longest_wait < 200 * kSecond);
+    CHECK(small_placements > 2000);
   }
 }
 
