--- a/src/estimates/run_time_estimator.h
+++ b/src/estimates/run_time_estimator.h
@@ -80,6 +80,7 @@
   std::uint64_t service = 0;
   auto operator<=>(const Key&) const = default;
 };
+// The key of the task at `level`.
 Key MakeKey(const Task& task, Key::Level level, bool is_ratio);
 
 // Message with changed cells of the sending member.
@@ -108,6 +109,7 @@
 // Not thread-safe.
 class RunTimeEstimator {
  public:
+  // `incarnation` must be greater after each restart of the member.
   RunTimeEstimator(Parameters parameters, std::uint32_t member, std::uint64_t incarnation);
   RunTimeEstimator(RunTimeEstimator&&) = default;  // not copyable: it holds pointers into its own maps
   RunTimeEstimator& operator=(RunTimeEstimator&&) = default;
@@ -135,6 +137,7 @@
   // --- Replication ---
   // The own cells changed after `after_version`, lowest versions first, at most `max_cells`.
   CellDelta BuildDelta(std::uint64_t after_version, std::size_t max_cells, Time now);
+  // Stores the cells that are newer than the stored ones. Messages of this member itself are ignored.
   void Merge(const CellDelta& delta);
   // The version up to which all cells of the latest incarnation of `member` have been received: to be
   // returned to it as `after_version`. 0, with *incarnation unchanged, for an unknown member.
