--- a/tests/compatibility_deploy_test.cpp
+++ b/tests/compatibility_deploy_test.cpp
@@ -278,32 +278,33 @@
   CHECK(team.name == "payments");
   CHECK(team.cap == 12'000 * spending::kUnit);
   CHECK(team.quantile_ppm == 900'000);
-  CHECK(team.zone.OffsetAt(*spending::InstantNamed("2026-01-15T00:00:00Z")) == 3600);
-  CHECK(team.zone.OffsetAt(*spending::InstantNamed("2026-07-15T00:00:00Z")) == 7200);
+  CHECK(team.time_zone.OffsetAt(*spending::ParseInstant("2026-01-15T00:00:00Z")) == 3600);
+  CHECK(team.time_zone.OffsetAt(*spending::ParseInstant("2026-07-15T00:00:00Z")) == 7200);
   REQUIRE(team.steps.size() == 2);
   CHECK(team.steps[0].notice == 750'000);
-  CHECK(team.steps[0].no_more == 900'000);
-  CHECK(team.steps[0].hard == 1'000'000);
+  CHECK(team.steps[0].no_new_tasks == 900'000);
+  CHECK(team.steps[0].hard_stop == 1'000'000);
   CHECK(team.steps[1].notice == 900'000);
-  CHECK(team.steps[1].no_more == 1'000'000);
-  CHECK(team.steps[1].hard == 1'050'000);
-  CHECK(plan.claims == std::map<std::pair<std::string, std::string>, int>{{{"", "payments"}, 0}});
-  CHECK(plan.unknown_runs == 3600 * kSecondLong);
-  CHECK(plan.lost_kept == 600 * kSecondLong);
-  CHECK(plan.ask_kept == 30 * kSecondLong);
-  CHECK(plan.draw_again == 1'000 * kMillisecond);
-  CHECK(plan.ledger_silent == 10'000 * kMillisecond);
+  CHECK(team.steps[1].no_new_tasks == 1'000'000);
+  CHECK(team.steps[1].hard_stop == 1'050'000);
+  CHECK(plan.team_by_task == std::map<std::pair<std::string, std::string>, int>{{{"", "payments"}, 0}});
+  CHECK(plan.default_remaining == 3600 * kSecondLong);
+  CHECK(plan.lost_task_retention == 600 * kSecondLong);
+  CHECK(plan.reservation_timeout == 30 * kSecondLong);
+  CHECK(plan.draw_retry_interval == 1'000 * kMillisecond);
+  CHECK(plan.ledger_timeout == 10'000 * kMillisecond);
 }
 
 // What an hour of the size costs from the instant on, in micro-units.
-spending::Money HourFrom(const spending::Plan& plan, const spending::Size& size, const std::string& instant) {
-  const spending::Seconds from = *spending::InstantNamed(instant);
-  return spending::Tariffs::RoundedUp(plan.tariffs.Parts(size, 0, from, from + 3600));
+spending::Money HourFrom(const spending::Plan& plan, const spending::TaskSize& size,
+                         const std::string& instant) {
+  const spending::Seconds from = *spending::ParseInstant(instant);
+  return spending::Tariffs::RoundUp(plan.tariffs.CostParts(size, 0, from, from + 3600));
 }
 
 TEST_CASE("the tariffs of the kept spending.json price a core, a GiB and a worker by date") {
   const spending::Plan plan = spending::LoadPlan(DataFile("spending.json"), Payments());
-  const spending::Size nothing, core{1000, 0}, gib{0, 1024};
+  const spending::TaskSize nothing, core{1000, 0}, gib{0, 1024};
   CHECK(HourFrom(plan, nothing, "2026-02-01T00:00:00Z") == 1'000);
   CHECK(HourFrom(plan, core, "2026-02-01T00:00:00Z") == 43'000);
   CHECK(HourFrom(plan, gib, "2026-02-01T00:00:00Z") == 6'500);
@@ -321,21 +322,21 @@
                        {"ask_kept_s", 31},
                        {"draw_again_ms", 1001},
                        {"ledger_silent_ms", 10'001}};
-  const spending::Plan plan = spending::ReadPlan(document, "spending.json", Payments());
+  const spending::Plan plan = spending::ParsePlan(document, "spending.json", Payments());
   CHECK(plan.teams[0].quantile_ppm == 750'000);
-  CHECK(plan.TeamOf("shop one", "other") == 0);
-  CHECK(plan.unknown_runs == 3601 * kSecondLong);
-  CHECK(plan.lost_kept == 601 * kSecondLong);
-  CHECK(plan.ask_kept == 31 * kSecondLong);
-  CHECK(plan.draw_again == 1'001 * kMillisecond);
-  CHECK(plan.ledger_silent == 10'001 * kMillisecond);
+  CHECK(plan.FindTeam("shop one", "other") == 0);
+  CHECK(plan.default_remaining == 3601 * kSecondLong);
+  CHECK(plan.lost_task_retention == 601 * kSecondLong);
+  CHECK(plan.reservation_timeout == 31 * kSecondLong);
+  CHECK(plan.draw_retry_interval == 1'001 * kMillisecond);
+  CHECK(plan.ledger_timeout == 10'001 * kMillisecond);
 }
 
 TEST_CASE("a key of spending.json that is changed by one letter is refused") {
   json document = Read("spending.json");
   document["teams"][0]["members"].push_back({{"tenant", "shop one"}});
   CheckRenamedKeysRefused(
-      document, [](const json& changed) { spending::ReadPlan(changed, "spending.json", Payments()); });
+      document, [](const json& changed) { spending::ParsePlan(changed, "spending.json", Payments()); });
 }
 
 }  // namespace
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -124,9 +124,9 @@
   std::string fault;
   const auto kept = store::Store::Open(folder.Copy("store.sqlite"), {}, &fault);
   REQUIRE_MESSAGE(kept != nullptr, fault);
-  const store::Content content = kept->TakeContent();
+  const store::Content content = kept->ReleaseContent();
   const store::Batch batch = SampleBatch();
-  CHECK_FALSE(content.fresh);
+  CHECK_FALSE(content.created);
   CHECK(content.state == *batch.state);
   CHECK(content.snapshot == *batch.snapshot);
   CHECK(content.entries == batch.entries);
@@ -274,19 +274,20 @@
 TEST_CASE("kept books of spending are taken up, and written again with the same bytes") {
   const std::string kept = Kept("spending_books.json");
   CHECK(Line(SampleBooks()) == kept);
-  const spending::Deployment deployment = spending::Five(1);
-  spending::Spending books(spending::ReadPlan(spending::File(), "f", deployment), deployment, nullptr);
+  const spending::Deployment deployment = spending::TestDeployment(1);
+  spending::SpendingController books(spending::ParsePlan(spending::TestPlan(), "f", deployment), deployment,
+                                     nullptr);
   books.Restore(json::parse(kept));
   CHECK(Line(books.Snapshot()) == kept);
-  const spending::Account* account = books.AccountOf(0, books.MonthNow(0));
+  const spending::Account* account = books.FindAccount(0, books.CurrentMonth(0));
   REQUIRE(account != nullptr);
   const json document = json::parse(kept), month = document["teams"][0]["accounts"][0];
-  CHECK(spending::MonthName(books.MonthNow(0)) == month["month"]);
+  CHECK(spending::FormatMonth(books.CurrentMonth(0)) == month["month"]);
   CHECK(account->cap() == month["cap"]);
   CHECK(account->epoch() == month["epoch"]);
-  CHECK(account->pool().out == month["pool"][0]);
-  CHECK(books.GiveBack().size() == document["returns"].size());
-  CHECK(books.GiveBack().at(1).amount == document["returns"][0]["amount"]);
+  CHECK(account->pool().drawn == month["pool"][0]);
+  CHECK(books.PendingReturns().size() == document["returns"].size());
+  CHECK(books.PendingReturns().at(1).amount == document["returns"][0]["amount"]);
 }
 
 }  // namespace
