--- a/src/dispatch/actions.cpp
+++ b/src/dispatch/actions.cpp
@@ -1,4 +1,4 @@
-// Executes the scheduler's actions, and ends attempts, tasks and requests.
+// Dispatcher: execution of the scheduler's actions, and the ends of attempts, tasks and requests.
 #include <algorithm>
 #include <utility>
 
@@ -15,36 +15,36 @@
 void Dispatcher::Execute(const scheduling::StartAttempt& action) {
   Request* request = requests_.Get(action.id);
   if (request == nullptr || request->state != RequestState::kWaiting) {
-    Log("the module offers what cannot be offered, passed over");
+    Log("scheduler started an attempt for a request that is not waiting; action ignored");
     return;
   }
   const Handle handle = action.id;
   const Time deadline =
       action.deadline > 0 ? std::min(action.deadline, request->task.deadline) : request->task.deadline;
-  ++request->attempts;
-  request->attempt = ++last_attempt_;
-  request->read_by = 0;
+  ++request->attempt_count;
+  request->attempt_id = ++last_attempt_;
+  request->required_read_position = 0;
   request->node = action.node;
-  request->sent = loop_->Now();
+  request->attempt_started_at = loop_->Now();
   Transition(request, RequestEvent::kAttemptStarted);
   request->timer = loop_->At(deadline, [this, handle] {
-    if (Request* late = requests_.Get(handle)) {
+    if (Request* timed_out = requests_.Get(handle)) {
       ++counters.attempts_timed_out;
-      CancelAttempt(handle, late, Outcome::kTimedOut);
+      CancelAttempt(handle, timed_out, Outcome::kTimedOut);
     }
   });
-  if (zone_failover_ != nullptr) zone_failover_->Asked(action.node, request->sent);
+  if (zone_failover_ != nullptr) zone_failover_->Asked(action.node, request->attempt_started_at);
   LogAttempt(*request);
-  nodes_->StartAttempt(action.node, request->id, request->attempt, request->payload, deadline);
+  nodes_->StartAttempt(action.node, request->id, request->attempt_id, request->payload, deadline);
 }
 
-// What the list says of the chosen node, beside what the task needs.
+// Logs the cores that the task requests and the free cores of the chosen node in the endpoint list.
 void Dispatcher::LogAttempt(const Request& request) const {
   if (!IsDebugLogged()) return;
   const auto listed = listed_nodes_.find(request.node);
   const double free_cores = listed == listed_nodes_.end() ? 0 : listed->second.entry.free_cores;
-  LogDebug("attempt %llu: task %016llx of %g cores goes to node %u, %g cores free in the list",
-           static_cast<unsigned long long>(request.attempt), static_cast<unsigned long long>(request.id),
+  LogDebug("attempt %llu: task %016llx, %g cores, sent to node %u with %g free cores in the endpoint list",
+           static_cast<unsigned long long>(request.attempt_id), static_cast<unsigned long long>(request.id),
            request.task.cores, request.node, free_cores);
 }
 
@@ -56,7 +56,7 @@
 void Dispatcher::Execute(const scheduling::CancelAttempt& action) {
   Request* request = requests_.Get(action.id);
   if (request == nullptr || !HasOpenAttempt(request->state)) return;
-  if (action.attempt != request->attempts - 1) return;
+  if (action.attempt != request->attempt_count - 1) return;
   CancelAttempt(action.id, request, Outcome::kCancelled);
 }
 
@@ -86,7 +86,7 @@
   loop_->At(action.at, [this, tag = action.tag] { HandleEvent(scheduling::TimerFired{tag}); });
 }
 
-void Dispatcher::Execute(const scheduling::LogMessage& action) { Log("module: %s", action.text.c_str()); }
+void Dispatcher::Execute(const scheduling::LogMessage& action) { Log("scheduler: %s", action.text.c_str()); }
 
 // --- Ends of attempts, tasks and requests ----------------------------------------------------------------
 template <typename SendAnswer>
@@ -109,9 +109,9 @@
 void Dispatcher::CancelAttempt(Handle handle, Request* request, Outcome outcome) {
   const bool was_sent = nodes_->CancelAttempt(request->node, request->id);
   request = requests_.Get(handle);
-  if (request == nullptr || !IsAssigned(request->state)) return;  // ended by a call back of the port
+  if (request == nullptr || !IsAssigned(request->state)) return;  // ended by a callback of the port
   if (zone_failover_ != nullptr && outcome == Outcome::kTimedOut) {
-    zone_failover_->Unanswered(request->node, request->sent);
+    zone_failover_->Unanswered(request->node, request->attempt_started_at);
     zone_failover_->AttemptOver(request->node, false);
   }
   EndAttempt(handle, request, was_sent ? outcome : Outcome::kNotSent, EndReason::kUnspecified, {});
@@ -123,10 +123,10 @@
   Transition(request, RequestEvent::kAttemptEnded);
   scheduling::AttemptEnded end;
   end.id = handle;
-  end.attempt = request->attempts - 1;
+  end.attempt = request->attempt_count - 1;
   end.node = request->node;
   end.outcome = outcome;
-  end.duration = loop_->Now() - request->sent;
+  end.duration = loop_->Now() - request->attempt_started_at;
   end.is_final = request->state == RequestState::kFinished;
   end.reason = reason;
   end.report = report;
@@ -139,9 +139,9 @@
   Transition(request, RequestEvent::kStopRequested);
   nodes_->StopTask(request->node, request->id);
   request->timer = loop_->After(kStopTimeout, [this, handle] {
-    Request* late = requests_.Get(handle);
-    if (late == nullptr) return;
-    FinishRunningTask(handle, late, Outcome::kCancelled, EndReason::kUnspecified, ClientNotice::kOmit);
+    Request* timed_out = requests_.Get(handle);
+    if (timed_out == nullptr) return;
+    FinishRunningTask(handle, timed_out, Outcome::kCancelled, EndReason::kUnspecified, ClientNotice::kOmit);
   });
 }
 
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-// The scheduler's event loop, settings, zone failover, and what clients report.
+// Dispatcher: event handling of the scheduler, settings, zone failover, and events of clients.
 #include "dispatch/dispatcher.h"
 
 #include <charconv>
@@ -17,8 +17,8 @@
 NodeId NodeIdFromUid(std::string_view uid) {
   const std::string_view digits = uid.substr(uid.rfind('-') + 1);
   NodeId number = 0;
-  const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number, 16);
-  if (error == std::errc() && stop == digits.data() + digits.size() && !digits.empty()) return number;
+  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number, 16);
+  if (error == std::errc() && end == digits.data() + digits.size() && !digits.empty()) return number;
   std::uint32_t hash = 2166136261u;  // FNV-1a
   for (const char c : uid) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
   return hash;
@@ -27,8 +27,8 @@
 Dispatcher::Dispatcher(EventLoop* loop, scheduling::Settings settings, std::uint64_t seed)
     : loop_(loop),
       classes_(settings),
-      kind_cores_(settings.kind_cores),
-      kind_memory_(settings.kind_memory),
+      cores_by_kind_(settings.kind_cores),
+      memory_by_kind_(settings.kind_memory),
       scheduler_(std::move(settings), seed) {
   RefreshClassCounters();
 }
@@ -41,8 +41,8 @@
 
 ClassTable::Change Dispatcher::ApplySettings(const scheduling::Settings& settings) {
   ClassTable::Change change = classes_.Apply(settings);
-  kind_cores_ = settings.kind_cores;
-  kind_memory_ = settings.kind_memory;
+  cores_by_kind_ = settings.kind_cores;
+  memory_by_kind_ = settings.kind_memory;
   RefreshClassCounters();
   HandleEvent(scheduling::SettingsChanged{std::make_shared<const scheduling::Settings>(change.settings),
                                           change.learns_from});
@@ -61,15 +61,14 @@
   EvaluateZoneFailover();
 }
 
-// The requests are counted only while failover is in force: otherwise this costs no more than a look at the
-// nodes' latest replies.
+// Counts the waiting requests only while failover is active, so that the evaluation is cheap otherwise.
 void Dispatcher::EvaluateZoneFailover() {
   const Time now = loop_->Now();
   int waiting = 0;
   if (zone_failover_->in_force()) {
     requests_.ForEach([&](Handle, const Request& request) {
-      waiting +=
-          request.state == RequestState::kWaiting && now - request.sent > zone_failover::ZoneFailover::kWaits;
+      waiting += request.state == RequestState::kWaiting &&
+                 now - request.attempt_started_at > zone_failover::ZoneFailover::kWaits;
     });
   }
   const zone_failover::ZoneFailover::Orders orders = zone_failover_->Evaluate(waiting, now);
@@ -108,7 +107,7 @@
   std::visit([this](const auto& typed) { Execute(typed); }, action);
 }
 
-// --- Reports of clients ----------------------------------------------------------------------------------
+// --- Events of clients -----------------------------------------------------------------------------------
 bool Dispatcher::OnTaskRequest(TaskRequest incoming) {
   if (Request* request = FindRequest(incoming.id)) return AcceptRepeatedRequest(request, incoming);
   if (incoming.running_on && !listed_nodes_.contains(*incoming.running_on)) return false;
@@ -123,7 +122,8 @@
   return true;
 }
 
-// An id names one request: one with another payload would receive the answer of the first.
+// An id identifies one request: a request with the same id and another payload is invalid, since it would
+// receive the answer of the first.
 bool Dispatcher::AcceptRepeatedRequest(Request* request, const TaskRequest& incoming) {
   if (request->payload != incoming.payload) return false;
   if (incoming.running_on) {
@@ -132,7 +132,7 @@
     return true;
   }
   if (!IsUnanswered(request->state)) return false;
-  // Sent again because its connection is closing: the answer goes where the request came from last.
+  // Resent by the client because its connection is closing: the answer goes to the latest connection.
   ++counters.requests_resent;
   request->client_connection = incoming.client_connection;
   return true;
@@ -144,11 +144,11 @@
   request.client_connection = incoming->client_connection;
   request.payload = std::move(incoming->payload);
   request.task = incoming->task;
-  request.sent = loop_->Now();
+  request.attempt_started_at = loop_->Now();
   request.counters = class_counters_[static_cast<std::size_t>(incoming->task.class_index)];
   if (incoming->running_on) {
     request.state = RequestState::kRunning;
-    request.attempts = 1;
+    request.attempt_count = 1;
     request.node = *incoming->running_on;
   }
   classes_.Use(incoming->task.class_index);
@@ -162,14 +162,15 @@
   clients_->SetTaskRunning(incoming.client_connection, true);
   nodes_->SetTaskRunning(node, incoming.id, true);
   HandleEvent(scheduling::TaskClaimed{incoming.task, node});
-  // A node reports an end once: it may have done so before the task was claimed here.
-  const UnclaimedCompletions::Outcome said = unclaimed_completions_.Claim(node, incoming.id, loop_->Now());
+  // A node reports a completion once, possibly before the task was claimed here.
+  const UnclaimedCompletions::Outcome reported =
+      unclaimed_completions_.Claim(node, incoming.id, loop_->Now());
   Request* request = requests_.Get(handle);
-  if (said == UnclaimedCompletions::Outcome::kUnknown || request == nullptr) return;
+  if (reported == UnclaimedCompletions::Outcome::kUnknown || request == nullptr) return;
   ++counters.completions_known_before_claim;
   request->client_connection = incoming.client_connection;
   const Outcome outcome =
-      said == UnclaimedCompletions::Outcome::kCompleted ? Outcome::kOk : Outcome::kAborted;
+      reported == UnclaimedCompletions::Outcome::kCompleted ? Outcome::kOk : Outcome::kAborted;
   FinishRunningTask(handle, request, outcome, EndReason::kUnspecified, ClientNotice::kSend);
 }
 
@@ -209,14 +210,14 @@
   OnClientRelease(id, client_connection);
 }
 
-void Dispatcher::ApplyPeerCompletion(NodeId node, TaskId id, TaskEnd completion, bool unanswered) {
+void Dispatcher::ApplyPeerCompletion(NodeId node, TaskId id, TaskEnd completion, bool notify_client) {
   const bool completed = completion == TaskEnd::kCompleted;
   Request* request = FindRequest(id);
-  if (request == nullptr && unanswered) {
+  if (request == nullptr && notify_client) {
     clients_->SendCompletion(0, id, completion);
   } else if (request == nullptr) {
     unclaimed_completions_.Add(node, id, completed, loop_->Now());
-  } else if (HasRunningTask(request->state) && (unanswered || request->node == node)) {
+  } else if (HasRunningTask(request->state) && (notify_client || request->node == node)) {
     const bool stopping = request->state == RequestState::kStopping;
     FinishRunningTask(handle_by_task_.at(id), request, completed ? Outcome::kOk : Outcome::kAborted,
                       EndReason::kUnspecified, stopping ? ClientNotice::kOmit : ClientNotice::kSend);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,17 +1,17 @@
-// The dispatcher leads every task request from its arrival to its completion.
+// Manages every task request from its arrival to its completion.
 //
-// Purpose: what clients, nodes and discovery report becomes events of the scheduler (scheduling::Scheduler),
-// and the scheduler's actions are executed through the ports. The dispatcher itself decides neither where nor
-// whether a task is placed.
+// Purpose: translates the reports of clients, nodes and discovery into events of the scheduler
+// (scheduling::Scheduler), and executes the scheduler's actions through the ports. The scheduler alone
+// decides whether and where a task is placed.
 // Owns: the requests and their states (request_state.h), the scheduler, the table of request classes, the
-// counters by class, and the entries of the endpoint list. The ports, suspensions and zone failover belong
-// to the caller and outlive it.
+// counters per class, and the entries of the endpoint list. The ports, the suspensions and the zone
+// failover are owned by the caller and outlive the dispatcher.
 // Called by: the client front end (ClientEvents), the node connections (NodeEvents), the endpoint list
 // watcher (DiscoveryEvents) and the server process (everything else).
-// Threads: the event loop's thread only. Ports may call back from within a call; events of the scheduler that
-// this causes are queued until the actions at hand have been executed.
-// Bounds: a request that is not running a task ends by its task's deadline; a stopped task is forgotten after
-// kStopTimeout. A request takes one slot and its payload, which the front end limits in size.
+// Threads: the event loop's thread only. Ports may call back from within a call; scheduler events that
+// result are queued until the current actions have been executed.
+// Bounds: a request without a running task ends by its task's deadline; a stopped task is forgotten after
+// kStopTimeout. A request takes one slot plus its payload, whose size the client front end limits.
 #pragma once
 
 #include <cstdint>
@@ -34,24 +34,25 @@
 
 class Dispatcher final : public ClientEvents, public NodeEvents, public DiscoveryEvents {
  public:
-  // A node that was told to stop a task and does not confirm it is not waited for any longer.
+  // How long to wait for a node to confirm that it has stopped a task.
   static constexpr Time kStopTimeout = 8 * kSecond;
 
-  // `seed`: of the scheduler's random choices. Throws std::invalid_argument where the scheduler cannot work
-  // with the settings. The loop outlives the dispatcher.
+  // `seed`: seeds the scheduler's random choices. Throws std::invalid_argument if the scheduler does not
+  // support the settings. The loop outlives the dispatcher.
   Dispatcher(EventLoop* loop, scheduling::Settings settings, std::uint64_t seed);
-  // To be called once, before any event arrives. The ports outlive the dispatcher.
+  // Sets the ports. Must be called once, before any event arrives. The ports outlive the dispatcher.
   void Connect(ClientPort* clients, NodePort* nodes, DiscoveryPort* discovery);
-  // Reports to the zone failover from now on, evaluates it every ZoneFailover::kEvaluateEvery, and makes it
-  // the scheduler's zone policy. It outlives the dispatcher.
+  // Makes `zone_failover` the scheduler's zone policy, reports events to it from now on and evaluates it
+  // every ZoneFailover::kEvaluateEvery. It outlives the dispatcher.
   void SetZoneFailover(zone_failover::ZoneFailover* zone_failover);
-  // Applies the operators' suspensions to every entry of the endpoint list from now on. They outlive the
-  // dispatcher.
+  // Applies the operators' suspensions to every entry of the endpoint list from now on. `suspensions`
+  // outlives the dispatcher.
   void SetSuspensions(NodeSuspensions* suspensions) { suspensions_ = suspensions; }
-  // Another process of this cluster manager learned that the task is over. `unanswered`: its client was not
-  // told, and is told now; otherwise that is left to whoever claims the task later.
-  void ApplyPeerCompletion(NodeId node, TaskId id, TaskEnd completion, bool unanswered);
-  // Calls visit(id, task, payload, node) for each running task that was not told to stop. The visit may not
+  // Applies a completion that was received by another process of this cluster manager. `notify_client`: the
+  // client has not been notified yet and is notified now; otherwise the completion is kept until a client
+  // claims the task.
+  void ApplyPeerCompletion(NodeId node, TaskId id, TaskEnd completion, bool notify_client);
+  // Calls visit(id, task, payload, node) for each running task that is not being stopped. `visit` must not
   // call the dispatcher.
   template <typename Visit>
   void ForEachRunningTask(Visit visit) {
@@ -60,24 +61,26 @@
         visit(request.id, request.task, request.payload, request.node);
     });
   }
-  // Completions of tasks that no client has claimed yet.
+  // Completions reported by nodes for tasks that no client has claimed here.
   const UnclaimedCompletions& unclaimed_completions() const { return unclaimed_completions_; }
-  // An operator suspended or resumed the node.
+  // Applies the suspension or resumption of a node by an operator.
   void OnSuspensionChanged(NodeId node);
 
-  std::size_t unanswered_requests() const { return unanswered_requests_; }  // requests without a final answer
-  std::size_t listed_nodes() const { return listed_nodes_.size(); }
-  // Listed nodes that get no new tasks at present.
-  std::size_t excluded_nodes() const { return scheduler_.excluded_nodes(); }
-  // Nodes and services that the scheduler remembers.
-  std::size_t scheduler_entries() const { return scheduler_.tracked_entries(); }
+  // Requests without a final answer.
+  std::size_t unanswered_request_count() const { return unanswered_requests_; }
+  std::size_t listed_node_count() const { return listed_nodes_.size(); }
+  // Listed nodes that currently receive no new tasks.
+  std::size_t excluded_node_count() const { return scheduler_.excluded_nodes(); }
+  // Nodes and services that the scheduler keeps state for.
+  std::size_t scheduler_entry_count() const { return scheduler_.tracked_entries(); }
   const Metrics& metrics() const { return metrics_; }
   const ClassTable& classes() const { return classes_; }
-  // Applies new settings, which must have been validated. Open requests keep the class that they came with.
+  // Applies new settings, which must have been validated. Open requests keep their class.
   ClassTable::Change ApplySettings(const scheduling::Settings& settings);
-  // This process ends at `by`: every request is answered by then, also those still to come.
-  void ScheduleShutdown(Time by) { HandleEvent(scheduling::ShutdownScheduled{by}); }
-  std::size_t RunningTasks() const override { return requests_.size() - unanswered_requests_; }
+  // Announces that this process ends at `deadline`: every request, including later ones, is answered by
+  // then.
+  void ScheduleShutdown(Time deadline) { HandleEvent(scheduling::ShutdownScheduled{deadline}); }
+  std::size_t RunningTaskCount() const override { return requests_.size() - unanswered_requests_; }
 
   bool OnTaskRequest(TaskRequest incoming) override;
   void OnClientRelease(TaskId id, Handle client_connection) override;
@@ -105,29 +108,30 @@
     Handle client_connection = 0;
     ForwardedPayload payload;
     scheduling::Task task;
-    RequestState state = RequestState::kWaiting;  // Transition alone changes it
-    int attempts = 0;                             // started so far
-    AttemptId attempt = 0;                        // number of the latest one
-    std::uint64_t read_by = 0;                    // see ClientPort::IsClientWaiting
+    RequestState state = RequestState::kWaiting;  // changed only by Transition
+    int attempt_count = 0;                        // attempts started so far
+    AttemptId attempt_id = 0;                     // of the latest attempt
+    std::uint64_t required_read_position = 0;     // see ClientPort::IsClientWaiting
     NodeId node = 0;                              // of the latest attempt
-    Time sent = 0;                                // when it arrived; then, when its latest attempt started
-    Handle timer = 0;                             // of the open attempt, or of a stop
-    ClassCounters* counters = nullptr;            // where its final answer is counted
+    Time attempt_started_at = 0;                  // of the latest attempt; before the first: arrival time
+    Handle timer = 0;                             // time-out of the open attempt or of the stop
+    ClassCounters* counters = nullptr;            // of the request's class
   };
   struct ListedEntry {
-    scheduling::NodeEntry entry;  // as the endpoint list has it, without suspensions
+    scheduling::NodeEntry entry;  // as in the endpoint list, without suspensions
     Time started_at = 0;
     bool removed = false;
   };
   enum class ClientNotice { kSend, kOmit };
-  enum class LostTaskFate { kOver, kMayStillRun };
+  enum class LostTaskFate { kEnded, kMayStillRun };
 
   Request* FindRequest(TaskId id);
-  // The request whose open attempt has this number; null where that attempt is over.
-  Request* FindAttempt(TaskId id, AttemptId attempt);
+  // The request whose open attempt has this id; null if that attempt has ended.
+  Request* FindRequestByAttempt(TaskId id, AttemptId attempt);
   void Transition(Request* request, RequestEvent event);
 
-  // Passes the event to the scheduler and executes its actions; queues it while other actions are executed.
+  // Passes the event to the scheduler and executes the resulting actions. While other actions are being
+  // executed, the event is queued.
   void HandleEvent(const scheduling::Event& event);
   void ExecuteAction(const scheduling::Action& action);
   void Execute(const scheduling::StartAttempt& action);
@@ -147,41 +151,43 @@
   bool AcceptRepeatedRequest(Request* request, const TaskRequest& incoming);
   Handle InsertRequest(TaskRequest* incoming);
   void ClaimRunningTask(Handle handle, const TaskRequest& incoming);
-  // The completion of a running task goes to this connection from now on.
+  // Makes this connection the recipient of the completion of a running task.
   void MoveToClientConnection(Request* request, Handle client_connection);
 
-  // Gives the client its final answer; an open attempt is cancelled first, so that none is open once the
-  // answer is read. No effect where the request is null or answered.
+  // Sends the client its final answer. An open attempt is cancelled first, so that no attempt is open when
+  // the client reads the answer. No effect if the request is null or has been answered.
   template <typename SendAnswer>
   void CompleteRequest(Request* request, std::uint64_t ClassCounters::*counter, SendAnswer send_answer);
   void CancelAttempt(Handle handle, Request* request, scheduling::Outcome outcome);
   void EndAttempt(Handle handle, Request* request, scheduling::Outcome outcome, scheduling::EndReason reason,
                   scheduling::LoadReport report);
-  // Tells the node to stop a running task. The scheduler learns of its end when the node confirms it, or
-  // after kStopTimeout.
+  // Requests the node to stop a running task. The end is reported to the scheduler when the node confirms
+  // it, or after kStopTimeout.
   void StopTask(Handle handle, Request* request);
   void FinishRunningTask(Handle handle, Request* request, scheduling::Outcome outcome,
                          scheduling::EndReason reason, ClientNotice notice);
-  // Ends all tasks of the node that were sent before then, as aborted. Returns how many there were.
-  std::size_t FinishLostTasks(NodeId node, Time sent_before, LostTaskFate fate);
+  // Ends all tasks on the node whose attempt started before `started_before`, as aborted. Returns their
+  // number.
+  std::size_t FinishLostTasks(NodeId node, Time started_before, LostTaskFate fate);
   void EraseRequest(Handle handle, Request* request);
-  // Cancels attempts that were not written yet to a node that may get nothing new.
+  // Cancels the queued attempts to a node that no longer accepts new tasks.
   void CancelQueuedAttempts(NodeId node);
 
   void ReportAttemptToZoneFailover(NodeId node, const Request& request, const NodeReply& reply);
   void EvaluateZoneFailover();
   void RefreshClassCounters();
-  // Takes over one entry of the endpoint list. Returns it as the scheduler is to see it.
+  // Applies one entry of the endpoint list. Returns the entry to be passed to the scheduler, with
+  // suspensions applied.
   scheduling::NodeEntry ApplyListedNode(const ListedNode& node);
-  // Once the grace period of a removed node is over, its tasks are taken for lost and it is forgotten.
+  // At the end of a removed node's grace period, ends its remaining tasks as lost and erases its entry.
   void ScheduleNodeRemoval(NodeId node);
   void ReportListingToZoneFailover(const scheduling::NodeEntry& listed, scheduling::NodeState state);
   scheduling::NodeEntry ApplySuspension(const scheduling::NodeEntry& entry) const;
 
   EventLoop* loop_;
   ClassTable classes_;
-  std::vector<double> kind_cores_;   // by kind of node
-  std::vector<double> kind_memory_;  // by kind of node
+  std::vector<double> cores_by_kind_;   // by kind of node
+  std::vector<double> memory_by_kind_;  // by kind of node
   scheduling::Scheduler scheduler_;
   Metrics metrics_;
   std::vector<ClassCounters*> class_counters_;            // by class index
--- a/src/dispatch/endpoint_list.cpp
+++ b/src/dispatch/endpoint_list.cpp
@@ -1,5 +1,5 @@
-// Changes of the endpoint list, and what becomes of attempts and running tasks at nodes that leave, die,
-// restart or are suspended.
+// Dispatcher: changes of the endpoint list, and the attempts and running tasks on nodes that are removed,
+// die, restart or are suspended.
 #include <algorithm>
 #include <limits>
 #include <memory>
@@ -23,17 +23,17 @@
 
 void Dispatcher::OnNodeProcessDied(NodeId node) {
   if (zone_failover_ != nullptr) zone_failover_->Unanswered(node, loop_->Now());
-  FinishLostTasks(node, kForever, LostTaskFate::kOver);
+  FinishLostTasks(node, kForever, LostTaskFate::kEnded);
 }
 
 void Dispatcher::OnNodePresumedStopped(NodeId node) {
   const std::size_t lost = FinishLostTasks(node, kForever, LostTaskFate::kMayStillRun);
   counters.tasks_presumed_ended += lost;
-  Log("node %u: leaving and silent, presumed stopped, %zu tasks ended", node, lost);
+  Log("node %u: draining and silent, presumed stopped; %zu tasks ended as lost", node, lost);
 }
 
-// The scheduler still accounts for the tasks under the old node: it has no event that moves a task, and the
-// endpoint list shows the load.
+// The scheduler keeps accounting for the tasks under the old node: it has no event for moving a task, and the
+// successor's load is visible in the endpoint list.
 void Dispatcher::OnAddressSuccessor(NodeId node, NodeId successor, const std::vector<TaskId>& tasks) {
   for (const TaskId id : tasks) {
     Request* request = FindRequest(id);
@@ -62,9 +62,9 @@
   ListedEntry& listed = position->second;
   listed.entry = entry;
   listed.removed = entry.state == scheduling::NodeState::kRemoved;
-  // A process that restarted without its end being noticed holds none of the tasks sent before its start.
+  // A new start time means that the process restarted unnoticed: tasks sent before its start are lost.
   const bool restarted = std::exchange(listed.started_at, entry.started_at) != entry.started_at && !is_new;
-  if (restarted) FinishLostTasks(entry.node, entry.started_at, LostTaskFate::kOver);
+  if (restarted) FinishLostTasks(entry.node, entry.started_at, LostTaskFate::kEnded);
   if (listed.removed) ScheduleNodeRemoval(entry.node);
   return effective;
 }
@@ -72,15 +72,15 @@
 void Dispatcher::ReportListingToZoneFailover(const scheduling::NodeEntry& listed,
                                              scheduling::NodeState state) {
   if (zone_failover_ == nullptr) return;
-  const std::size_t kind = std::min<std::size_t>(listed.kind, kind_cores_.size() - 1);
-  const zone_failover::Size size{kind_cores_[kind], kind_memory_[kind], listed.free_cores,
+  const std::size_t kind = std::min<std::size_t>(listed.kind, cores_by_kind_.size() - 1);
+  const zone_failover::Size size{cores_by_kind_[kind], memory_by_kind_[kind], listed.free_cores,
                                  listed.free_memory};
   zone_failover_->Listed(listed.node, listed.zone, state == scheduling::NodeState::kReady, size,
                          loop_->Now());
 }
 
-// The endpoint list may report a removal before the node's last messages are read: they are waited for until
-// the end of the grace period, which is already over for a node that fell silent long ago.
+// The endpoint list may report a removal before the node's last messages have been read, so they are awaited
+// until the end of the grace period. For a node that has been silent for long that period is already over.
 void Dispatcher::ScheduleNodeRemoval(NodeId node) {
   loop_->At(nodes_->GracePeriodEnd(node), [this, node] {
     const auto it = listed_nodes_.find(node);
@@ -91,8 +91,8 @@
   });
 }
 
-// A node may leave between the scheduler's decision and the write of the attempt, while a connection is being
-// opened or the client's messages are being read.
+// A node may be removed or start draining between the scheduler's decision and the write of the attempt,
+// while a connection is being established or the client's pending messages are being read.
 void Dispatcher::CancelQueuedAttempts(NodeId node) {
   std::vector<Handle> queued;
   requests_.ForEach([&](Handle handle, const Request& request) {
@@ -120,17 +120,17 @@
   if (!accepts_tasks) CancelQueuedAttempts(node);
 }
 
-std::size_t Dispatcher::FinishLostTasks(NodeId node, Time sent_before, LostTaskFate fate) {
+std::size_t Dispatcher::FinishLostTasks(NodeId node, Time started_before, LostTaskFate fate) {
   std::vector<Handle> lost;
   requests_.ForEach([&](Handle handle, const Request& request) {
-    if (HasRunningTask(request.state) && request.node == node && request.sent < sent_before)
+    if (HasRunningTask(request.state) && request.node == node && request.attempt_started_at < started_before)
       lost.push_back(handle);
   });
   for (const Handle handle : lost) {
     Request* request = requests_.Get(handle);
     if (request == nullptr) continue;
     ++counters.tasks_lost;
-    // Before its end is reported, since it may still run.
+    // The task may still be running: it must be marked before its end is reported.
     if (fate == LostTaskFate::kMayStillRun) nodes_->MarkOrphaned(node, request->id);
     request = requests_.Get(handle);
     if (request == nullptr) continue;
--- a/src/dispatch/node_events.cpp
+++ b/src/dispatch/node_events.cpp
@@ -1,4 +1,4 @@
-// What nodes report of attempts, tasks and checks.
+// Dispatcher: reports of nodes about attempts, tasks and checks.
 #include "dispatch/dispatcher.h"
 #include "net/counters.h"
 
@@ -6,25 +6,25 @@
 
 using scheduling::Outcome;
 
-Dispatcher::Request* Dispatcher::FindAttempt(TaskId id, AttemptId attempt) {
+Dispatcher::Request* Dispatcher::FindRequestByAttempt(TaskId id, AttemptId attempt) {
   Request* request = FindRequest(id);
   if (request == nullptr || !HasOpenAttempt(request->state)) return nullptr;
-  return request->attempt == attempt ? request : nullptr;
+  return request->attempt_id == attempt ? request : nullptr;
 }
 
 AttemptPermission Dispatcher::CheckAttemptAllowed(TaskId id, AttemptId attempt) {
-  Request* request = FindAttempt(id, attempt);
+  Request* request = FindRequestByAttempt(id, attempt);
   if (request == nullptr || !IsUnanswered(request->state)) return AttemptPermission::kDenied;
-  if (clients_->IsClientWaiting(request->client_connection, &request->read_by))
+  if (clients_->IsClientWaiting(request->client_connection, &request->required_read_position))
     return AttemptPermission::kGranted;
   ++counters.attempts_postponed;
-  return AttemptPermission::kAskAgain;
+  return AttemptPermission::kRetryLater;
 }
 
 void Dispatcher::OnAttemptAccepted(NodeId node, TaskId id, AttemptId attempt, std::string_view description) {
   if (zone_failover_ != nullptr) zone_failover_->Answered(node, loop_->Now());
-  Request* request = FindAttempt(id, attempt);
-  if (request == nullptr) {  // it was cancelled
+  Request* request = FindRequestByAttempt(id, attempt);
+  if (request == nullptr) {  // the attempt was cancelled
     ++counters.node_replies_unmatched;
     return;
   }
@@ -37,13 +37,14 @@
   clients_->SendAccepted(request->client_connection, id, description);
   clients_->SetTaskRunning(request->client_connection, true);
   nodes_->SetTaskRunning(node, id, true);
-  HandleEvent(scheduling::TaskAccepted{handle, request->attempts - 1, node, loop_->Now() - request->sent});
+  HandleEvent(scheduling::TaskAccepted{handle, request->attempt_count - 1, node,
+                                       loop_->Now() - request->attempt_started_at});
 }
 
 void Dispatcher::ReportAttemptToZoneFailover(NodeId node, const Request& request, const NodeReply& reply) {
   if (zone_failover_ == nullptr) return;
   if (reply.attempt_outcome == Outcome::kNoConnection) {
-    zone_failover_->Unanswered(node, request.sent);
+    zone_failover_->Unanswered(node, request.attempt_started_at);
   } else if (reply.attempt_outcome != Outcome::kAborted) {
     zone_failover_->Answered(node, loop_->Now());
   } else if (reply.task_outcome != Outcome::kAborted) {
@@ -53,7 +54,7 @@
 }
 
 void Dispatcher::OnAttemptEnded(NodeId node, TaskId id, AttemptId attempt, const NodeReply& reply) {
-  Request* request = FindAttempt(id, attempt);
+  Request* request = FindRequestByAttempt(id, attempt);
   if (request == nullptr) {
     ++counters.node_replies_unmatched;
     return;
@@ -64,8 +65,8 @@
     EndAttempt(handle, request, reply.attempt_outcome, reply.reason, reply.report);
     return;
   }
-  // A short task can complete while it is still being started. It is not tried again at another node, which
-  // would only report the same: the client and the scheduler learn that it is over.
+  // A short task can complete before the node has accepted it. It is not retried, since another node would
+  // report the same: its completion is reported to the client and the scheduler.
   const Handle client_connection = request->client_connection;
   const bool unanswered = IsUnanswered(request->state);
   if (unanswered) ++request->counters->faulted;
@@ -95,7 +96,8 @@
   const Request* request = FindRequest(id);
   if (zone_failover_ != nullptr) zone_failover_->Spoke(node, loop_->Now());
   if (request == nullptr || !IsAssigned(request->state) || request->node != node) return;
-  HandleEvent(scheduling::TaskReported{handle_by_task_.at(id), request->attempts - 1, node, kind, level});
+  HandleEvent(
+      scheduling::TaskReported{handle_by_task_.at(id), request->attempt_count - 1, node, kind, level});
 }
 
 void Dispatcher::OnHealthCheckResult(NodeId node, Outcome outcome, Time duration,
--- a/src/dispatch/ports.h
+++ b/src/dispatch/ports.h
@@ -1,10 +1,10 @@
-// The interfaces between the Dispatcher and the modules that speak to the outside.
+// Interfaces between the Dispatcher and the modules that communicate with clients, nodes and discovery.
 //
-// Purpose: the dispatcher knows none of their protocols, and none of them knows another. A port (ClientPort,
-// NodePort, DiscoveryPort) is what the dispatcher calls; the events (ClientEvents, NodeEvents,
-// DiscoveryEvents) are what the dispatcher implements and the modules call.
-// Owns nothing. Implemented by: the client front end (src/clients), the node connections (src/nodes), the
-// endpoint list watcher (src/discovery), and the Dispatcher.
+// Purpose: the dispatcher is independent of the network protocols, and the protocol modules are independent
+// of each other. The dispatcher calls the ports (ClientPort, NodePort, DiscoveryPort); the protocol modules
+// call the event interfaces (ClientEvents, NodeEvents, DiscoveryEvents), which the dispatcher implements.
+// Owns nothing. The ports are implemented by the client front end (src/clients), the node connections
+// (src/nodes) and the endpoint list watcher (src/discovery).
 // Threads: the event loop's thread only. No call blocks. A port may report events from within a call.
 // Times are nanoseconds of the event loop's clock. References and views are valid during the call only.
 #pragma once
@@ -22,107 +22,116 @@
 
 namespace cluster_manager {
 
-// The client's number of a task; unique over all clients.
+// Identifies a task; assigned by the client and unique across all clients.
 using TaskId = std::uint64_t;
 using NodeId = scheduling::NodeId;
-// One attempt to place a task at a node. No number is used twice in the life of a process, so that a late
-// reply to an attempt that is over is never taken for a reply to the next.
+// Identifies one attempt to place a task on a node. Ids are never reused within a process, so that a late
+// reply to an earlier attempt is not mistaken for a reply to the current one.
 using AttemptId = std::uint64_t;
 
-// The part of a task request that is forwarded to a node unchanged, in wire form: the request class, then the
-// other fields. Copied from the client's message once; all copies of this refer to the same bytes.
+// The part of a task request that is forwarded to the node unchanged, in wire format: the request class,
+// followed by the other fields. Copied from the client's message once; all copies of this struct share the
+// bytes.
 struct ForwardedPayload {
   BlockPool::Ref bytes;
-  std::size_t class_end = 0;  // bytes that the request class takes
+  std::size_t class_end = 0;  // length of the encoded request class, in bytes
   bool operator==(const ForwardedPayload& other) const {
     return class_end == other.class_end && bytes.view() == other.bytes.view();
   }
 };
 
-// How a task is over, as its client is told. kAborted: it was stopped or lost, or never ran.
+// How a task ended, as reported to its client. kAborted: it was stopped or lost, or never ran.
 enum class TaskEnd { kCompleted, kAborted };
 
-// A client's request to run a task, or to take over the care of one that runs already.
+// A client's request to run a task, or to claim a task that is already running.
 struct TaskRequest {
   TaskId id = 0;
-  Handle client_connection = 0;  // the client front end's handle of where the answer goes
-  scheduling::Task task;         // the dispatcher sets its id
+  Handle client_connection = 0;  // the connection that receives the answer
+  scheduling::Task task;         // the dispatcher sets task.id
   ForwardedPayload payload;
-  std::optional<NodeId> running_on;  // the node that runs the task already
+  std::optional<NodeId> running_on;  // for a claim: the node that runs the task
 };
 
-// An entry of the endpoint list.
+// A node in the endpoint list.
 struct ListedNode {
   scheduling::NodeEntry entry;
-  std::string endpoint;  // address and port
+  std::string endpoint;  // "address:port"
 };
 
-// --- What the dispatcher calls -------------------------------------------------------------------------
+// --- Ports: called by the dispatcher -------------------------------------------------------------------
 
-// Messages to clients. A handle whose connection is gone is allowed: answers to it are dropped; completions
-// are queued and sent on another connection.
+// Sends messages to clients. The handle may refer to a connection that has been closed: answers are then
+// dropped, completions are queued and sent on another connection.
 class ClientPort {
  public:
-  // The task runs; `description` is the node's, in wire form.
+  // The task is running. `description`: the node's description of it, in wire format.
   virtual void SendAccepted(Handle client_connection, TaskId id, std::string_view description) = 0;
-  // The task did not run. The client may retry after `retry_after`, in nanoseconds; 0: no advice.
+  // The request was rejected without running the task. `retry_after`: the recommended delay before a retry,
+  // in nanoseconds; 0: none.
   virtual void SendRejected(Handle client_connection, TaskId id, Time retry_after) = 0;
-  // The request is over without a running task; it may have run.
+  // The request ended without a running task. The task may have been executed.
   virtual void SendFailed(Handle client_connection, TaskId id, TaskEnd completion) = 0;
-  // A running task is over. Kept until a client confirms it or CompletionQueue gives it up.
+  // A running task ended. The completion is kept until a client confirms it or CompletionQueue drops it.
   virtual void SendCompletion(Handle client_connection, TaskId id, TaskEnd completion) = 0;
-  // A running task is to be submitted again elsewhere; it is stopped where it runs.
+  // The task migrates: the client resubmits it, and it is stopped on its current node.
   virtual void SendMigration(Handle client_connection, TaskId id) = 0;
-  // A task that was requested on this connection runs, or (false) no longer does. The connection is kept open
-  // for completions as long as any does.
+  // Records that a task requested on this connection started or (false) stopped running. The connection is
+  // kept open for completions while any of its tasks is running.
   virtual void SetTaskRunning(Handle client_connection, bool running) = 0;
-  // Whether the client still waits for its answer, judged by all that has arrived on its connection, also
-  // bytes that were not processed yet. While there are such bytes the result is false; `read_by` then holds
-  // the position up to which they must be processed, from one call to the next, and is 0 at first.
-  virtual bool IsClientWaiting(Handle client_connection, std::uint64_t* read_by) = 0;
+  // Whether the client is still waiting for its answer, given everything that has arrived on its
+  // connection. While bytes that arrived before the first call are unprocessed, the result is false.
+  // `required_read_position` stores the stream position up to which the connection must be processed; it
+  // has to be 0 on the first call and be passed unchanged to the following ones.
+  virtual bool IsClientWaiting(Handle client_connection, std::uint64_t* required_read_position) = 0;
 
  protected:
   ~ClientPort() = default;
 };
 
-// Messages to nodes and their connections.
+// Sends messages to nodes and manages the connections to them.
 class NodePort {
  public:
-  // The node is in the endpoint list, with this address and state.
+  // Updates the address and state of a node from the endpoint list.
   virtual void UpdateNode(const ListedNode& node) = 0;
-  // Starts an attempt. It is written as soon as a connection is up and NodeEvents::CheckAttemptAllowed,
-  // called immediately before the write, grants it. `until`: when the dispatcher stops waiting for the reply.
+  // Starts an attempt. The request is written as soon as a connection is established and
+  // NodeEvents::CheckAttemptAllowed, called immediately before the write, permits it. `deadline`: when the
+  // dispatcher stops waiting for the reply.
   virtual void StartAttempt(NodeId node, TaskId id, AttemptId attempt, const ForwardedPayload& payload,
-                            Time until) = 0;
-  // Whether the attempt waits for its connection or for CheckAttemptAllowed: nothing of it has been written.
+                            Time deadline) = 0;
+  // Whether the attempt is queued until a connection is established or CheckAttemptAllowed permits it; no
+  // byte of it has been written.
   virtual bool IsQueued(NodeId node, TaskId id) const = 0;
-  // Cancels the open attempt; the message is written before this returns, or its connection is closed. False
-  // where the attempt had never been written.
+  // Cancels the open attempt. The cancellation is written, or the connection closed, before this returns.
+  // Returns false if the attempt had not been written.
   virtual bool CancelAttempt(NodeId node, TaskId id) = 0;
-  // Stops a running task. Repeated on new connections until the node confirms it.
+  // Stops a running task. The message is repeated on new connections until the node confirms the stop.
   virtual void StopTask(NodeId node, TaskId id) = 0;
-  // A task runs at the node, or (false) no longer does. A connection is kept open while any does.
+  // Records that a task started or (false) stopped running on the node. A connection is kept open while any
+  // task is running there.
   virtual void SetTaskRunning(NodeId node, TaskId id, bool running) = 0;
-  // Checks the node's health for the scheduler; answered by NodeEvents::OnHealthCheckResult.
+  // Starts a health check for the scheduler; the result is reported by NodeEvents::OnHealthCheckResult.
   virtual void CheckHealth(NodeId node) = 0;
-  // Checks whether the node answers, for zone failover; answered by NodeEvents::OnReachabilityResult.
+  // Starts a reachability check for zone failover; the result is reported by
+  // NodeEvents::OnReachabilityResult.
   virtual void CheckReachability(NodeId node) = 0;
-  // Closes the connections to the node where no attempt, task or check is open at it.
+  // Closes the connections to the node if it has no open attempt, running task or pending check.
   virtual void CloseIdleConnections(NodeId node) = 0;
-  // A task is taken for over although its node did not report it, because the node is silent or was removed
-  // from the endpoint list. It is stopped there if the node is heard from again or a connection is still up.
+  // Marks a task as orphaned: it is treated as ended although its node did not report a completion, because
+  // the node is silent or was removed from the endpoint list. It is stopped there once a message from the
+  // node arrives, or at once over a connection that is still established.
   virtual void MarkOrphaned(NodeId node, TaskId id) = 0;
-  // The node was removed from the endpoint list: until when its last messages may still arrive. May be past.
+  // For a node removed from the endpoint list: the time until which its last messages may still arrive,
+  // which may be in the past.
   virtual Time GracePeriodEnd(NodeId node) = 0;
 
  protected:
   ~NodePort() = default;
 };
 
-// Requests to the discovery service.
+// Sends requests to the discovery service.
 class DiscoveryPort {
  public:
-  // Each call is answered by exactly one DiscoveryEvents::OnEndpointListChanged, also where it fails.
+  // Each call results in exactly one DiscoveryEvents::OnEndpointListChanged, even if the request fails.
   virtual void Subscribe(bool active) = 0;
   virtual void Fetch() = 0;
 
@@ -130,75 +139,78 @@
   ~DiscoveryPort() = default;
 };
 
-// --- What the dispatcher is told -----------------------------------------------------------------------
+// --- Events: implemented by the dispatcher ---------------------------------------------------------------
 
-// Messages of clients, and the state of their connections.
+// Reports messages from clients and changes of their connections.
 class ClientEvents {
  public:
-  // False where the request is invalid: its id names another request, or it claims a task at an unknown node.
+  // Returns false if the request is invalid: its id belongs to a different request, or it claims a task on
+  // an unknown node.
   virtual bool OnTaskRequest(TaskRequest incoming) = 0;
-  // The client releases a running task, or cancels a request that has no answer yet. The latter counts only
-  // on the connection that its answer would go to.
+  // The client stops a running task or cancels an unanswered request. A cancellation is ignored unless it
+  // arrives on the connection that would receive the answer.
   virtual void OnClientRelease(TaskId id, Handle client_connection) = 0;
-  // The connection that the answer would go to is gone; it cancels the request.
+  // The client connection was closed. Cancels the request if it is unanswered and its answer would go
+  // there.
   virtual void OnClientDisconnected(TaskId id, Handle client_connection) = 0;
-  // The front end rejected a request of this class itself; to be counted.
+  // Counts a request of this class that the client front end rejected without passing it to the dispatcher.
   virtual void OnRejectedAtAdmission(int class_index) = 0;
-  // Tasks whose completion clients will have to be told.
-  virtual std::size_t RunningTasks() const = 0;
+  // The number of running tasks, whose completions clients will have to be notified of.
+  virtual std::size_t RunningTaskCount() const = 0;
 
  protected:
   ~ClientEvents() = default;
 };
 
-// What a node's final message on an attempt or task says. The same message means one thing before the node
-// accepted the attempt, and another after it.
+// A node's final message about an attempt or task. The same message is interpreted differently before and
+// after the node has accepted the attempt.
 struct NodeReply {
-  scheduling::Outcome attempt_outcome = scheduling::Outcome::kAborted;  // of an attempt that was not accepted
-  scheduling::Outcome task_outcome = scheduling::Outcome::kAborted;     // of a running task
+  scheduling::Outcome attempt_outcome = scheduling::Outcome::kAborted;  // if the attempt was not accepted
+  scheduling::Outcome task_outcome = scheduling::Outcome::kAborted;     // if the task was running
   scheduling::EndReason reason = scheduling::EndReason::kUnspecified;
   scheduling::LoadReport report;
 };
 
 enum class AttemptPermission {
-  kGranted,   // to be written now
-  kAskAgain,  // to be asked again shortly; the attempt may be cancelled meanwhile
-  kDenied,    // the attempt is over, and to be dropped without a report
+  kGranted,     // write the request now
+  kRetryLater,  // call CheckAttemptAllowed again shortly; the attempt may be cancelled in the meantime
+  kDenied,      // the attempt has ended; drop it without reporting an event
 };
 
-// Messages of nodes, and the state of their processes.
+// Reports messages from nodes and the state of their processes.
 class NodeEvents {
  public:
-  // The one place that decides whether an attempt may be written.
+  // Decides whether an attempt may be written; no other check is made before the write.
   virtual AttemptPermission CheckAttemptAllowed(TaskId id, AttemptId attempt) = 0;
-  // The node runs the task.
+  // The node has accepted the attempt and runs the task.
   virtual void OnAttemptAccepted(NodeId node, TaskId id, AttemptId attempt, std::string_view description) = 0;
-  // The attempt is over without having been accepted.
+  // The attempt ended without having been accepted.
   virtual void OnAttemptEnded(NodeId node, TaskId id, AttemptId attempt, const NodeReply& reply) = 0;
-  // A task that the node ran is over. Not for a task with an open attempt at that node.
+  // A task that was running on the node ended. Not called for a task with an open attempt on that node.
   virtual void OnTaskEnded(NodeId node, TaskId id, const NodeReply& reply) = 0;
-  // A report on a task while it starts or runs. `level`: by kind, as in scheduling::TaskReported.
+  // The node reported on a task that is starting or running. `level`: its meaning depends on `kind`, as in
+  // scheduling::TaskReported.
   virtual void OnTaskReport(NodeId node, TaskId id, scheduling::TaskReportKind kind, double level) = 0;
-  // `duration`: since the check was requested.
+  // `duration`: from the start of the check to its result.
   virtual void OnHealthCheckResult(NodeId node, scheduling::Outcome outcome, Time duration,
                                    scheduling::LoadReport report) = 0;
   virtual void OnReachabilityResult(NodeId node, scheduling::Outcome outcome, Time duration) = 0;
-  // The node's process has ended, and with it all tasks that it ran.
+  // The node's process has ended, and all tasks that it ran have ended with it.
   virtual void OnNodeProcessDied(NodeId node) = 0;
-  // The node was draining and has been silent for too long: its tasks are taken for over.
+  // A draining node has been silent for too long and is presumed stopped: its tasks are treated as ended.
   virtual void OnNodePresumedStopped(NodeId node) = 0;
-  // The endpoint list gives the node's address to another node, whose process accepted these tasks at that
-  // address before.
+  // The endpoint list now assigns the node's address to `successor`. `tasks`: the tasks that the
+  // successor's process accepted at that address while the list still assigned it to `node`.
   virtual void OnAddressSuccessor(NodeId node, NodeId successor, const std::vector<TaskId>& tasks) = 0;
 
  protected:
   ~NodeEvents() = default;
 };
 
-// Changes of the endpoint list.
+// Reports changes of the endpoint list.
 class DiscoveryEvents {
  public:
-  // `nodes`: by kind, the changed entries or all of them; empty where the request failed.
+  // `nodes`: the changed entries or all entries, depending on `kind`; empty if the request failed.
   virtual void OnEndpointListChanged(scheduling::EndpointListUpdate kind, std::int64_t version,
                                      const std::vector<ListedNode>& nodes) = 0;
 
@@ -206,8 +218,8 @@
   ~DiscoveryEvents() = default;
 };
 
-// The number of a node from its uid, equal in every cluster manager: the hexadecimal digits after the last
-// hyphen, as in s-00c41f7a, otherwise a hash of the text.
+// Derives a node's numeric id from its uid, identically in every cluster manager: the hexadecimal digits
+// after the last hyphen, as in s-00c41f7a, or a hash of the uid if it has none.
 NodeId NodeIdFromUid(std::string_view uid);
 
 }  // namespace cluster_manager
--- a/src/nodes/attempt_sending.cpp
+++ b/src/nodes/attempt_sending.cpp
@@ -96,7 +96,7 @@
     case AttemptPermission::kDenied:
       ++counters.attempts_not_sent;
       return;
-    case AttemptPermission::kAskAgain:
+    case AttemptPermission::kRetryLater:
       Defer(node_connection->node, queued);
       return;
     case AttemptPermission::kGranted:
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -107,7 +107,7 @@
       break;
     case Phase::kDraining:
       Log("drained by an operator: %zu requests to settle, %zu tasks stand",
-          dispatcher_.unanswered_requests(), dispatcher_.RunningTasks());
+          dispatcher_.unanswered_request_count(), dispatcher_.RunningTaskCount());
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kDraining);
       break;
     case Phase::kAcceptingFinalConnections:
@@ -187,12 +187,12 @@
   std::fprintf(stderr, "counter bytes_written %llu\n",
                static_cast<unsigned long long>(protocol::bytes_written));
   if (counting_build != nullptr) counting_build(stderr);
-  const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_requests()},
-                                                       {"standing", dispatcher_.RunningTasks()},
+  const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_request_count()},
+                                                       {"standing", dispatcher_.RunningTaskCount()},
                                                        {"owners", frontend_.size()},
                                                        {"owed_ends", frontend_.queued_completions()},
-                                                       {"listed", dispatcher_.listed_nodes()},
-                                                       {"module", dispatcher_.scheduler_entries()},
+                                                       {"listed", dispatcher_.listed_node_count()},
+                                                       {"module", dispatcher_.scheduler_entry_count()},
                                                        {"roster", endpoint_list_.size()},
                                                        {"agents", node_pool_.size()},
                                                        {"agent_lines", node_pool_.connection_count()},
--- a/tests/request_state_test.cpp
+++ b/tests/request_state_test.cpp
@@ -1,4 +1,4 @@
-// Every state of a request against every event.
+// Tests of the request state machine: every state with every event.
 #include "dispatch/request_state.h"
 
 #include <doctest/doctest.h>
@@ -12,29 +12,31 @@
                              RequestState::kAttemptAbandoned, RequestState::kRunning,
                              RequestState::kStopping,         RequestState::kFinished};
 
-// The states that follow each of kStates.
-using Row = std::array<RequestState, kStates.size()>;
+// The next states, in the order of kStates.
+using NextStates = std::array<RequestState, kStates.size()>;
 
-void CheckRow(RequestEvent event, const Row& expected) {
+void CheckNextStates(RequestEvent event, const NextStates& expected) {
   for (std::size_t i = 0; i < kStates.size(); ++i) {
     CAPTURE(i);
     CHECK(NextState(kStates[i], event) == expected[i]);
   }
 }
 
-TEST_CASE("a request moves on by its table of states, and other events leave it where it is") {
+TEST_CASE("a request changes state by the transition table and ignores events that do not apply") {
   using enum RequestState;
-  CheckRow(RequestEvent::kAttemptStarted,
-           {kAttemptInFlight, kAttemptInFlight, kAttemptAbandoned, kRunning, kStopping, kFinished});
-  CheckRow(RequestEvent::kAttemptAccepted, {kWaiting, kRunning, kRunning, kRunning, kStopping, kFinished});
-  CheckRow(RequestEvent::kAttemptEnded, {kWaiting, kWaiting, kFinished, kFinished, kFinished, kFinished});
-  CheckRow(RequestEvent::kClientCompleted,
-           {kFinished, kAttemptAbandoned, kAttemptAbandoned, kRunning, kStopping, kFinished});
-  CheckRow(RequestEvent::kStopRequested,
-           {kWaiting, kAttemptInFlight, kAttemptAbandoned, kStopping, kStopping, kFinished});
+  CheckNextStates(RequestEvent::kAttemptStarted,
+                  {kAttemptInFlight, kAttemptInFlight, kAttemptAbandoned, kRunning, kStopping, kFinished});
+  CheckNextStates(RequestEvent::kAttemptAccepted,
+                  {kWaiting, kRunning, kRunning, kRunning, kStopping, kFinished});
+  CheckNextStates(RequestEvent::kAttemptEnded,
+                  {kWaiting, kWaiting, kFinished, kFinished, kFinished, kFinished});
+  CheckNextStates(RequestEvent::kClientCompleted,
+                  {kFinished, kAttemptAbandoned, kAttemptAbandoned, kRunning, kStopping, kFinished});
+  CheckNextStates(RequestEvent::kStopRequested,
+                  {kWaiting, kAttemptInFlight, kAttemptAbandoned, kStopping, kStopping, kFinished});
 }
 
-TEST_CASE("a state has at most one of an open attempt and a running task") {
+TEST_CASE("a request has at most one of an open attempt and a running task") {
   for (const RequestState state : kStates) {
     CAPTURE(static_cast<int>(state));
     CHECK_FALSE((HasOpenAttempt(state) && HasRunningTask(state)));
