--- a/src/completion/completion_queue.cpp
+++ b/src/completion/completion_queue.cpp
@@ -11,16 +11,15 @@
 using State = CompletionQueue::State;
 using Time = CompletionQueue::Time;
 
-// Whether the next look at a sent completion may find its time limit reached, or has to note that it has been
-// acknowledged.
-bool NeedsLook(const Completion& completion, Time now) {
+// Whether a sent completion may have reached its time limit, or its acknowledgement has to be recorded.
+bool NeedsTimeLimitCheck(const Completion& completion, Time now) {
   return completion.state == State::kAwaitingTimeout ||
          now - completion.sent_at >= CompletionQueue::kCloseDetectionTime;
 }
 
 }  // namespace
 
-State CompletionQueue::Next(State state, Event event) {
+State CompletionQueue::NextState(State state, Event event) {
   if (state == State::kRemoved) return state;
   switch (event) {
     case Event::kSentConfirming:
@@ -41,9 +40,9 @@
   return state;
 }
 
-void CompletionQueue::Apply(Event event, Completion* completion) {
+void CompletionQueue::ApplyEvent(Event event, Completion* completion) {
   const State before = completion->state;
-  const State after = Next(before, event);
+  const State after = NextState(before, event);
   if (before == State::kPending) --pending_;
   if (after == State::kPending) ++pending_;
   if (before != State::kPending && after == State::kPending) {
@@ -57,14 +56,14 @@
   const auto age = [](const auto& entry) { return std::tuple(entry.second.added_at, entry.first); };
   const std::uint64_t oldest = std::ranges::min_element(completions_, {}, age)->first;
   const auto it = completions_.find(oldest);
-  Apply(Event::kEvicted, &it.value());
+  ApplyEvent(Event::kEvicted, &it.value());
   completions_.erase(it);
   ++evicted_;
 }
 
 Completion CompletionQueue::Add(std::uint64_t task, int message_type, int cause, Time now,
-                                ConnectionHandle origin_connection) {
-  // Bounds the memory while no client is connected. The oldest is the least likely to be wanted.
+                                ConnectionHandle client_connection) {
+  // Bounds the memory while no client is connected. The oldest entry is the least likely to be needed.
   if (completions_.size() >= kMaxEntries && !completions_.contains(task)) EvictOldest();
   const auto [it, inserted] = completions_.try_emplace(task);
   if (inserted || it->second.state != State::kPending) ++pending_;
@@ -73,7 +72,7 @@
   fresh.message_type = message_type;
   fresh.cause = cause;
   fresh.added_at = now;
-  fresh.origin_connection = origin_connection;
+  fresh.client_connection = client_connection;
   it.value() = fresh;
   return fresh;
 }
@@ -83,7 +82,7 @@
   const auto it = completions_.find(task);
   if (it == completions_.end()) return;
   Completion& completion = it.value();
-  Apply(confirming ? Event::kSentConfirming : Event::kSentUnconfirming, &completion);
+  ApplyEvent(confirming ? Event::kSentConfirming : Event::kSentUnconfirming, &completion);
   completion.connection = connection;
   completion.sent_at = now;
   completion.acknowledged_at = 0;
@@ -94,9 +93,9 @@
   const auto it = completions_.find(task);
   if (it == completions_.end()) return false;
   Completion& completion = it.value();
-  // A late confirmation on the connection that timed out counts as well.
+  // A late confirmation on the connection that timed out is valid as well.
   if (completion.connection != connection && completion.unresponsive_connection != connection) return false;
-  Apply(Event::kConfirmed, &completion);
+  ApplyEvent(Event::kConfirmed, &completion);
   completions_.erase(it);
   return true;
 }
@@ -106,7 +105,7 @@
   for (auto it = completions_.begin(); it != completions_.end(); ++it) {
     Completion& completion = it.value();
     if (completion.connection != connection) continue;
-    Apply(Event::kConnectionLost, &completion);
+    ApplyEvent(Event::kConnectionLost, &completion);
     ++pending_again;
   }
   return pending_again;
@@ -115,26 +114,27 @@
 void CompletionQueue::CheckTimeLimit(Delivery delivery, Time now, Completion* completion) {
   if (completion->state == State::kAwaitingConfirmation) {
     if (delivery == Delivery::kQueued) completion->sent_at = now;
-    if (now - completion->sent_at >= kConfirmationTimeout) Apply(Event::kConfirmationTimeout, completion);
+    if (now - completion->sent_at >= kConfirmationTimeout)
+      ApplyEvent(Event::kConfirmationTimeout, completion);
     return;
   }
   if (delivery != Delivery::kAcknowledged) return;
   if (completion->acknowledged_at == 0) completion->acknowledged_at = now;
   if (now - completion->acknowledged_at < kCloseDetectionTime) return;
-  Apply(Event::kAssumedReceived, completion);
+  ApplyEvent(Event::kAssumedReceived, completion);
   ++assumed_received_;
 }
 
 std::size_t CompletionQueue::CheckTimeouts(Time now,
-                                           const std::function<Delivery(const Completion&)>& delivery_of) {
+                                           const std::function<Delivery(const Completion&)>& get_delivery) {
   std::size_t pending_again = 0;
   for (auto it = completions_.begin(); it != completions_.end();) {
     Completion& completion = it.value();
     if (now - completion.added_at >= kRetention) {
-      Apply(Event::kExpired, &completion);
+      ApplyEvent(Event::kExpired, &completion);
       ++expired_;
-    } else if (completion.state != State::kPending && NeedsLook(completion, now)) {
-      CheckTimeLimit(delivery_of ? delivery_of(completion) : Delivery::kAcknowledged, now, &completion);
+    } else if (completion.state != State::kPending && NeedsTimeLimitCheck(completion, now)) {
+      CheckTimeLimit(get_delivery ? get_delivery(completion) : Delivery::kAcknowledged, now, &completion);
       if (completion.state == State::kPending) ++pending_again;
     }
     if (completion.state == State::kRemoved) {
@@ -147,10 +147,10 @@
   return pending_again;
 }
 
-std::vector<Completion> CompletionQueue::Pending() const { return Sorted(true); }
-std::vector<Completion> CompletionQueue::All() const { return Sorted(false); }
+std::vector<Completion> CompletionQueue::PendingCompletions() const { return SortedByAge(true); }
+std::vector<Completion> CompletionQueue::AllCompletions() const { return SortedByAge(false); }
 
-std::vector<Completion> CompletionQueue::Sorted(bool only_pending) const {
+std::vector<Completion> CompletionQueue::SortedByAge(bool only_pending) const {
   std::vector<Completion> sorted;
   sorted.reserve(only_pending ? pending_ : completions_.size());
   for (const auto& [task, completion] : completions_) {
--- a/src/completion/unclaimed_completions.cpp
+++ b/src/completion/unclaimed_completions.cpp
@@ -13,8 +13,8 @@
 }
 
 UnclaimedCompletions::Outcome UnclaimedCompletions::Claim(std::uint32_t node, std::uint64_t task, Time now) {
-  const auto it = std::ranges::find_if(completions_, [&](const Completion& each) {
-    return each.task == task && each.node == node && now - each.reported_at < kRetention;
+  const auto it = std::ranges::find_if(completions_, [&](const Completion& completion) {
+    return completion.task == task && completion.node == node && now - completion.reported_at < kRetention;
   });
   if (it == completions_.end()) return Outcome::kUnknown;
   const Outcome outcome = it->completed ? Outcome::kCompleted : Outcome::kAborted;
--- a/src/completion/unclaimed_completions.h
+++ b/src/completion/unclaimed_completions.h
@@ -1,6 +1,6 @@
-// Completions reported by a node for tasks that this cluster manager does not know. A client that lost the
-// cluster manager which held the task may hand it over to this one a moment later, without having heard of
-// the completion: a node reports it once, to any cluster manager it is connected to.
+// Completions that nodes reported for tasks unknown to this cluster manager. A node reports a completion
+// once, to any cluster manager it is connected to. The client of the task may have lost its cluster
+// manager, and claim the task here a moment later without having received the completion.
 //
 // Owned by Dispatcher and used on its thread. Keeps at most kMaxEntries, each for kRetention.
 #pragma once
@@ -14,7 +14,7 @@
 class UnclaimedCompletions {
  public:
   using Time = std::int64_t;  // nanoseconds
-  // Clients notice the loss of a cluster manager after some seconds and hand their tasks over then.
+  // Clients detect the loss of a cluster manager after some seconds and then claim their tasks elsewhere.
   static constexpr Time kRetention = 15'000'000'000;
   static constexpr std::size_t kMaxEntries = 4096;  // 32 bytes each
 
@@ -24,15 +24,16 @@
     std::uint32_t node;
     bool completed;  // false: aborted
   };
-  // What has been reported of a task.
+  // The completion reported for a task; kUnknown: none.
   enum class Outcome { kUnknown, kCompleted, kAborted };
 
-  // Keeps a report; the oldest is dropped where there are too many.
+  // Adds a reported completion. Expired entries are dropped, and the oldest ones if there are kMaxEntries.
   void Add(std::uint32_t node, std::uint64_t task, bool completed, Time now);
-  // How the task ended at that node. The report is removed.
+  // Removes and returns the completion that the node reported for the task.
   Outcome Claim(std::uint32_t node, std::uint64_t task, Time now);
   std::size_t size() const { return completions_.size(); }
-  const std::deque<Completion>& all() const { return completions_; }  // oldest first
+  // Oldest first.
+  const std::deque<Completion>& completions() const { return completions_; }
 
  private:
   std::deque<Completion> completions_;
--- a/src/server/server_process_handover.cpp
+++ b/src/server/server_process_handover.cpp
@@ -67,7 +67,7 @@
   }
   for (const auto& [id, over] : frontend_.RemainingCompletions(with_tasks))
     handover.ends.push_back({id, HandedOverCompletion::kAnyNode, over});
-  for (const UnclaimedCompletions::Completion& each : dispatcher_.unclaimed_completions().all()) {
+  for (const UnclaimedCompletions::Completion& each : dispatcher_.unclaimed_completions().completions()) {
     const TaskEnd end = each.completed ? TaskEnd::kCompleted : TaskEnd::kAborted;
     handover.ends.push_back({each.task, each.node, end});
   }
