--- a/src/failure_detection/failure_detector.cpp
+++ b/src/failure_detection/failure_detector.cpp
@@ -8,14 +8,14 @@
   if (state == listed_state_) return;
   listed_state_ = state;
   listed_state_since_ = now;
-  // Silence from before the change proves nothing: only probes sent since then count.
+  // Silence before the change is no evidence for the new state: only probes sent since then count.
   first_unanswered_ = 0;
   last_unanswered_ = 0;
 }
 
 void FailureDetector::RecordTraffic(Time now) {
-  last_heard_ = std::max(last_heard_, now);
-  refused_before_heard_ = false;
+  last_traffic_ = std::max(last_traffic_, now);
+  refused_before_traffic_ = false;
   first_unanswered_ = 0;
   last_unanswered_ = 0;
 }
@@ -26,34 +26,34 @@
 }
 
 bool FailureDetector::RecordRefusedDial(Time dialed_at) {
-  if (last_heard_ > 0) return true;
-  refused_before_heard_ = true;
+  if (last_traffic_ > 0) return true;
+  refused_before_traffic_ = true;
   if (first_contact_ == 0) first_contact_ = dialed_at;
   RecordUnanswered(dialed_at);
   return false;
 }
 
 void FailureDetector::RecordUnanswered(Time sent_at) {
-  const bool heard_since = sent_at <= last_heard_;
+  const bool traffic_since = sent_at <= last_traffic_;
   const bool state_changed_since = sent_at < listed_state_since_;
-  if (heard_since || state_changed_since) return;
+  if (traffic_since || state_changed_since) return;
   if (first_unanswered_ == 0) first_unanswered_ = sent_at;
   first_unanswered_ = std::min(first_unanswered_, sent_at);
   last_unanswered_ = std::max(last_unanswered_, sent_at);
 }
 
 bool FailureDetector::ShouldProbe(Time now) const {
-  return leaving() && now - last_heard_ >= kProbeAfterSilence && now - last_probe_ >= kProbeInterval;
+  return is_leaving() && now - last_traffic_ >= kProbeAfterSilence && now - last_probe_ >= kProbeInterval;
 }
 
 bool FailureDetector::IsPresumedStopped(Time now) const {
-  const Time silent_since = last_heard_ > 0 ? last_heard_ : first_contact_;
-  return leaving() && now - silent_since >= kPresumedStoppedAfter &&
+  const Time silent_since = last_traffic_ > 0 ? last_traffic_ : first_contact_;
+  return is_leaving() && now - silent_since >= kPresumedStoppedAfter &&
          last_unanswered_ - first_unanswered_ >= kMinUnansweredSpan;
 }
 
 Time FailureDetector::GracePeriodEnd(Time now) const {
-  return std::min(now, last_heard_) + kRemovalGracePeriod;
+  return std::min(now, last_traffic_) + kRemovalGracePeriod;
 }
 
 }  // namespace cluster_manager::failure_detection
--- a/src/nodes/health_checks.cpp
+++ b/src/nodes/health_checks.cpp
@@ -100,7 +100,7 @@
   std::vector<NodeId> stopped;
   std::erase_if(leaving_nodes_, [&](NodeId node) {
     const auto it = nodes_.find(node);
-    if (it == nodes_.end() || !it->second.failure_detector.leaving()) return true;
+    if (it == nodes_.end() || !it->second.failure_detector.is_leaving()) return true;
     const NodeRecord& record = it->second;
     if (record.running_tasks.empty()) return false;
     if (record.failure_detector.IsPresumedStopped(now)) {
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -1,4 +1,4 @@
-// What silence of a node proves, and when: every verdict at its bounds.
+// Tests of FailureDetector: when silence of a node leads to a verdict, at the exact time limits.
 #include "failure_detection/failure_detector.h"
 
 #include <doctest/doctest.h>
@@ -10,15 +10,15 @@
 
 constexpr Time kMs = 1'000'000, kStart = 1'000'000'000'000;
 
-struct Leaving {
+struct LeavingNodeFixture {
   FailureDetector node;
-  Leaving() {
+  LeavingNodeFixture() {
     node.RecordTraffic(kStart);
     node.SetListedState(ListedState::kDraining, kStart);
   }
 };
 
-TEST_CASE("a node that serves is neither asked nor taken for stopped, however long it is silent") {
+TEST_CASE("a serving node is neither probed nor presumed stopped however long it is silent") {
   FailureDetector node;
   node.RecordTraffic(kStart);
   node.RecordUnanswered(kStart + kProbeAfterSilence);
@@ -27,7 +27,8 @@
   CHECK_FALSE(node.IsPresumedStopped(kStart + 100 * kProbeAfterSilence));
 }
 
-TEST_CASE_FIXTURE(Leaving, "a leaving node is asked once it has been quiet, and again after a pause") {
+TEST_CASE_FIXTURE(LeavingNodeFixture,
+                  "a leaving node is probed after kProbeAfterSilence and again after kProbeInterval") {
   CHECK_FALSE(node.ShouldProbe(kStart + kProbeAfterSilence - 1));
   CHECK(node.ShouldProbe(kStart + kProbeAfterSilence));
   node.RecordProbe(kStart + kProbeAfterSilence);
@@ -37,75 +38,79 @@
   CHECK_FALSE(node.ShouldProbe(kStart + kProbeAfterSilence + 2 * kProbeInterval));
 }
 
-TEST_CASE_FIXTURE(Leaving, "it is taken for stopped only after two unanswered questions some time apart") {
-  const Time asked = kStart + kProbeAfterSilence;
+TEST_CASE_FIXTURE(
+    LeavingNodeFixture,
+    "a leaving node is presumed stopped only after two unanswered probes kMinUnansweredSpan apart") {
+  const Time probed_at = kStart + kProbeAfterSilence;
   CHECK_FALSE(node.IsPresumedStopped(kStart + 100 * kPresumedStoppedAfter));
-  node.RecordUnanswered(asked);
+  node.RecordUnanswered(probed_at);
   CHECK_FALSE(node.IsPresumedStopped(kStart + 100 * kPresumedStoppedAfter));
-  node.RecordUnanswered(asked + kMinUnansweredSpan - 1);
+  node.RecordUnanswered(probed_at + kMinUnansweredSpan - 1);
   CHECK_FALSE(node.IsPresumedStopped(kStart + 100 * kPresumedStoppedAfter));
-  node.RecordUnanswered(asked + kMinUnansweredSpan);
+  node.RecordUnanswered(probed_at + kMinUnansweredSpan);
   CHECK(node.IsPresumedStopped(kStart + kPresumedStoppedAfter));
   CHECK_FALSE(node.IsPresumedStopped(kStart + kPresumedStoppedAfter - 1));
 }
 
-TEST_CASE_FIXTURE(Leaving, "whatever is heard takes the verdict back, and old questions no longer count") {
+TEST_CASE_FIXTURE(LeavingNodeFixture, "traffic revokes the verdict and earlier probes no longer count") {
   node.RecordUnanswered(kStart + kProbeAfterSilence);
   node.RecordUnanswered(kStart + kProbeAfterSilence + kMinUnansweredSpan);
   REQUIRE(node.IsPresumedStopped(kStart + kPresumedStoppedAfter + kMinUnansweredSpan));
-  const Time heard = kStart + kPresumedStoppedAfter + kMinUnansweredSpan;
-  node.RecordTraffic(heard);
-  CHECK_FALSE(node.silent());
-  node.RecordUnanswered(heard);  // it was asked before it spoke
-  CHECK_FALSE(node.silent());
-  CHECK_FALSE(node.IsPresumedStopped(heard + 10 * kPresumedStoppedAfter));
+  const Time traffic_at = kStart + kPresumedStoppedAfter + kMinUnansweredSpan;
+  node.RecordTraffic(traffic_at);
+  CHECK_FALSE(node.is_silent());
+  node.RecordUnanswered(traffic_at);  // a probe sent before the traffic
+  CHECK_FALSE(node.is_silent());
+  CHECK_FALSE(node.IsPresumedStopped(traffic_at + 10 * kPresumedStoppedAfter));
 }
 
-TEST_CASE("silence from before the news that it leaves does not count") {
+TEST_CASE("silence before the node was listed as draining does not count") {
   FailureDetector node;
   node.RecordTraffic(kStart);
   node.RecordUnanswered(kStart + 1);
   node.RecordUnanswered(kStart + 10 * kMinUnansweredSpan);
-  const Time told = kStart + 20 * kMinUnansweredSpan;
-  node.SetListedState(ListedState::kDraining, told);
-  node.RecordUnanswered(told - 1);
-  CHECK_FALSE(node.IsPresumedStopped(told + 10 * kPresumedStoppedAfter));
-  CHECK(node.ShouldProbe(told));
+  const Time drained_at = kStart + 20 * kMinUnansweredSpan;
+  node.SetListedState(ListedState::kDraining, drained_at);
+  node.RecordUnanswered(drained_at - 1);
+  CHECK_FALSE(node.IsPresumedStopped(drained_at + 10 * kPresumedStoppedAfter));
+  CHECK(node.ShouldProbe(drained_at));
 }
 
-TEST_CASE("a node that is taken back into service is no longer under a verdict") {
-  Leaving leaving;
-  leaving.node.RecordUnanswered(kStart + kProbeAfterSilence);
-  leaving.node.RecordUnanswered(kStart + kProbeAfterSilence + kMinUnansweredSpan);
-  leaving.node.SetListedState(ListedState::kServing, kStart + kPresumedStoppedAfter);
-  CHECK_FALSE(leaving.node.IsPresumedStopped(kStart + 10 * kPresumedStoppedAfter));
+TEST_CASE("a node that returns to service is no longer presumed stopped") {
+  LeavingNodeFixture fixture;
+  fixture.node.RecordUnanswered(kStart + kProbeAfterSilence);
+  fixture.node.RecordUnanswered(kStart + kProbeAfterSilence + kMinUnansweredSpan);
+  fixture.node.SetListedState(ListedState::kServing, kStart + kPresumedStoppedAfter);
+  CHECK_FALSE(fixture.node.IsPresumedStopped(kStart + 10 * kPresumedStoppedAfter));
 }
 
-TEST_CASE("the last words of a gone node are waited for only where it spoke just now") {
+TEST_CASE("the grace period of a removed node starts with its last traffic") {
   FailureDetector node;
-  CHECK(node.GracePeriodEnd(kStart) <= kStart);  // never heard
+  CHECK(node.GracePeriodEnd(kStart) <= kStart);  // no traffic yet
   node.RecordTraffic(kStart);
   CHECK(node.GracePeriodEnd(kStart) == kStart + kRemovalGracePeriod);
   CHECK(node.GracePeriodEnd(kStart + 5000 * kMs) == kStart + kRemovalGracePeriod);
 }
 
-TEST_CASE("an end on a node that stops is found out in time wherever its last word lies") {
-  // A look each 100 ms, a test of 500 ms, dials of 250 ms; the node stops at once after its last word, or
-  // later.
+TEST_CASE("a stop is detected within 8 s whenever the last traffic was") {
+  // Evaluation every 100 ms, health checks that time out after 500 ms, dials after 250 ms; the node stops at
+  // various times after its last traffic.
   for (Time stop_after = 0; stop_after <= 2 * kProbeAfterSilence; stop_after += 250 * kMs) {
     FailureDetector node;
     node.RecordTraffic(kStart);
     node.SetListedState(ListedState::kDraining, kStart);
     const Time stop = kStart + stop_after;
-    Time verdict = 0, test = 0, dial = 0;
+    Time verdict = 0, health_check = 0, dial = 0;
     for (Time now = kStart; verdict == 0 && now < stop + 20'000 * kMs; now += 100 * kMs) {
-      if (test > 0 && test < stop && now > test) node.RecordTraffic(std::exchange(test, 0) + kMs);
-      if (test > 0 && now - test >= 500 * kMs) node.RecordUnanswered(std::exchange(test, 0));
+      if (health_check > 0 && health_check < stop && now > health_check)
+        node.RecordTraffic(std::exchange(health_check, 0) + kMs);
+      if (health_check > 0 && now - health_check >= 500 * kMs)
+        node.RecordUnanswered(std::exchange(health_check, 0));
       if (dial > 0 && now - dial >= 250 * kMs) node.RecordUnanswered(std::exchange(dial, 0));
       if (node.IsPresumedStopped(now)) verdict = now;
       if (!node.ShouldProbe(now)) continue;
       node.RecordProbe(now);
-      (node.silent() ? dial : test) = now;
+      (node.is_silent() ? dial : health_check) = now;
     }
     CAPTURE(stop_after / kMs);
     CHECK(verdict > stop);
@@ -113,18 +118,18 @@
   }
 }
 
-TEST_CASE("a refused dial proves a death only where the node was heard before") {
-  FailureDetector heard, fresh;
-  heard.RecordTraffic(kStart);
-  CHECK(heard.RecordRefusedDial(kStart + 1));
-  CHECK_FALSE(heard.leaving());
-  CHECK_FALSE(fresh.RecordRefusedDial(kStart));
-  CHECK(fresh.leaving());
-  fresh.RecordRefusedDial(kStart + kMinUnansweredSpan);
-  CHECK_FALSE(fresh.IsPresumedStopped(kStart + kPresumedStoppedAfter - 1));
-  CHECK(fresh.IsPresumedStopped(kStart + kPresumedStoppedAfter));
-  fresh.RecordTraffic(kStart + kPresumedStoppedAfter);
-  CHECK_FALSE(fresh.leaving());
+TEST_CASE("a refused dial proves the death of a process only after traffic from the node") {
+  FailureDetector known, unknown;
+  known.RecordTraffic(kStart);
+  CHECK(known.RecordRefusedDial(kStart + 1));
+  CHECK_FALSE(known.is_leaving());
+  CHECK_FALSE(unknown.RecordRefusedDial(kStart));
+  CHECK(unknown.is_leaving());
+  unknown.RecordRefusedDial(kStart + kMinUnansweredSpan);
+  CHECK_FALSE(unknown.IsPresumedStopped(kStart + kPresumedStoppedAfter - 1));
+  CHECK(unknown.IsPresumedStopped(kStart + kPresumedStoppedAfter));
+  unknown.RecordTraffic(kStart + kPresumedStoppedAfter);
+  CHECK_FALSE(unknown.is_leaving());
 }
 
 }  // namespace
