--- a/tests/address_successor_test.cpp
+++ b/tests/address_successor_test.cpp
@@ -1,5 +1,5 @@
-// Stories of addresses that are used again: the list is silent while a node's process dies and another comes
-// up in its place, so that for a while tasks go to the new one under the old one's uid.
+// Tests of address reuse: a node's process dies and another node's process starts at the same address before
+// the endpoint list reports it, so that tasks placed in between are recorded under the old node's uid.
 #include <chrono>
 #include <string>
 #include <thread>
@@ -10,8 +10,8 @@
 namespace cluster_manager::story {
 namespace {
 
-constexpr const char* kOld = "s-00000001";
-constexpr const char* kNew = "s-00001001";
+constexpr const char* kOldUid = "s-00000001";
+constexpr const char* kSuccessorUid = "s-00001001";
 
 std::int64_t NowMs() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -19,136 +19,143 @@
       .count();
 }
 
-// One node that anything goes to; kTask stands there.
-struct Address : Site {
-  std::optional<Wire> owner, agent, feed;
-  std::vector<Wire> lines;  // to the process that came after
-  Wire* heir = nullptr;     // of these, where the last set-up went
-  int number = 1;
+// A node that receives every task; kTask is running there.
+struct ReusedAddressFixture : Site {
+  std::optional<Wire> client, node, discovery;
+  std::vector<Wire> successor_connections;
+  Wire* successor = nullptr;  // the connection that received the latest task request
+  int list_version = 1;
 
-  void Begin() {
+  void StartWithRunningTask() {
     Start();
-    feed.emplace(bulletin.Accept());
-    owner.emplace(program->Owner());
-    owner->NothingElse();  // it is at work, and takes signals
-    feed->Raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n");
-    Tell({Node("s-00000002", second.endpoint(), 5, "terminated")});
-    Ask(&*owner, kTask, "unsafe");
-    agent.emplace(first.Accept());
-    agent->Hear(Type::kSetUp, kTask);
-    agent->Answer(kTask, "there");
-    owner->Hear(Type::kAnswer, kTask);
+    discovery.emplace(bulletin.Accept());
+    client.emplace(program->Owner());
+    client->NothingElse();  // the program is running and handles signals
+    discovery->Raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n");
+    PublishEndpoints({Node("s-00000002", second.endpoint(), 5, "terminated")});
+    Ask(&*client, kTask, "unsafe");
+    node.emplace(first.Accept());
+    node->Hear(Type::kSetUp, kTask);
+    node->Answer(kTask, "there");
+    client->Hear(Type::kAnswer, kTask);
   }
-  void Tell(const std::vector<json>& nodes) {
-    const std::string id = std::to_string(++number);
-    feed->Raw("id: " + id + "\ndata: " + Event(number, json(nodes)).dump() + "\n\n");
-    program->Counted("discovery_events", number - 1);
+  void PublishEndpoints(const std::vector<json>& nodes) {
+    const std::string event_id = std::to_string(++list_version);
+    discovery->Raw("id: " + event_id + "\ndata: " + Event(list_version, json(nodes)).dump() + "\n\n");
+    program->Counted("discovery_events", list_version - 1);
   }
-  // Whoever is at the address answers tests, until a set-up comes, on whichever connection.
-  void Takes(TaskId task) {
-    Ask(&*owner, task, "unsafe");
+  // Requests a task, accepts connections at the address and answers health checks on them until the task
+  // request arrives on one.
+  void PlaceTask(TaskId task) {
+    Ask(&*client, task, "unsafe");
     const Patience patience;
     while (true) {
       patience.Check();
-      if (first.Dialled(2)) lines.push_back(first.Accept());
-      for (Wire& line : lines) {
-        if (!line.Speaks(2)) continue;
-        const Heard heard = line.Hear();
-        if (heard.type == Type::kTest) line.Say(Type::kTestResult, heard.task, Cause::kTestPassed);
+      if (first.Dialled(2)) successor_connections.push_back(first.Accept());
+      for (Wire& connection : successor_connections) {
+        if (!connection.Speaks(2)) continue;
+        const Heard heard = connection.Hear();
+        if (heard.type == Type::kTest) connection.Say(Type::kTestResult, heard.task, Cause::kTestPassed);
         if (heard.type != Type::kSetUp) continue;
         CHECK(heard.task == task);
-        heir = &line;
+        successor = &connection;
         return;
       }
     }
   }
-  json Gone() const { return Node(kOld, first.endpoint(), 10, "terminated"); }
-  json Heir(std::int64_t boot_ms) const { return Node(kNew, first.endpoint(), 10, "in_service", boot_ms); }
-  // Longer than the last words of a node that has gone are waited for.
-  void Wait() { std::this_thread::sleep_for(std::chrono::milliseconds(1500)); }
+  json RemovedEntry() const { return Node(kOldUid, first.endpoint(), 10, "terminated"); }
+  json SuccessorEntry(std::int64_t boot_ms) const {
+    return Node(kSuccessorUid, first.endpoint(), 10, "in_service", boot_ms);
+  }
+  // Longer than kRemovalGracePeriod of the failure detector.
+  void WaitForGracePeriod() { std::this_thread::sleep_for(std::chrono::milliseconds(1500)); }
 };
 
-TEST_CASE_FIXTURE(Address,
-                  "what a new process at the address of a dead node took goes on under its own uid") {
-  Begin();
+TEST_CASE_FIXTURE(
+    ReusedAddressFixture,
+    "a task accepted by the new process at a dead node's address continues under the successor's uid") {
+  StartWithRunningTask();
   first.Close();
-  agent->Reset();
-  CHECK(owner->Hear(Type::kRelease, kTask).cause == 41);
+  node->Reset();
+  CHECK(client->Hear(Type::kRelease, kTask).cause == 41);
   std::int64_t boot_ms = NowMs();
   first.Open();
-  Takes(kOther);
-  bool late_answer = false, heir_first = false, at_once = true;
-  SUBCASE("gone and heir in one event") {}
-  SUBCASE("the list does not tell since when it is up") { boot_ms = 0; }
-  SUBCASE("its answer comes after the list told") { late_answer = true; }
-  SUBCASE("the heir first") {
-    at_once = false;
-    heir_first = true;
+  PlaceTask(kOther);
+  bool accepted_late = false, successor_first = false, in_one_event = true;
+  SUBCASE("removed and successor in one event") {}
+  SUBCASE("the endpoint list gives no start time of the successor") { boot_ms = 0; }
+  SUBCASE("the successor accepts the task after the endpoint list has changed") { accepted_late = true; }
+  SUBCASE("the successor in the first of two events") {
+    in_one_event = false;
+    successor_first = true;
   }
-  SUBCASE("the heir last") { at_once = false; }
-  if (!late_answer) {
-    heir->Answer(kOther, "here");
-    owner->Hear(Type::kAnswer, kOther);
+  SUBCASE("the successor in the second of two events") { in_one_event = false; }
+  if (!accepted_late) {
+    successor->Answer(kOther, "here");
+    client->Hear(Type::kAnswer, kOther);
   }
-  if (at_once) {
-    Tell({Gone(), Heir(boot_ms)});
+  if (in_one_event) {
+    PublishEndpoints({RemovedEntry(), SuccessorEntry(boot_ms)});
   } else {
-    Tell({heir_first ? Heir(boot_ms) : Gone()});
-    Tell({heir_first ? Gone() : Heir(boot_ms)});
+    PublishEndpoints({successor_first ? SuccessorEntry(boot_ms) : RemovedEntry()});
+    PublishEndpoints({successor_first ? RemovedEntry() : SuccessorEntry(boot_ms)});
   }
-  Wait();
-  if (late_answer) {
-    heir->Answer(kOther, "here");
-    owner->Hear(Type::kAnswer, kOther);
+  WaitForGracePeriod();
+  if (accepted_late) {
+    successor->Answer(kOther, "here");
+    client->Hear(Type::kAnswer, kOther);
   }
-  owner->NothingElse();
+  client->NothingElse();
   program->Counted("tasks_moved_to_address_successor", 1);
-  // Its further life is the new node's: another task goes there, and both ends are heard.
-  Takes(3);
-  heir->Answer(3, "here");
-  owner->Hear(Type::kAnswer, 3);
-  heir->Say(Type::kRelease, kOther, Cause::kEnded);
-  CHECK(owner->Hear(Type::kRelease, kOther).cause == 16);
-  // And its death is that of both.
+  // The successor is in service: another task is placed there, and its completions are received.
+  PlaceTask(3);
+  successor->Answer(3, "here");
+  client->Hear(Type::kAnswer, 3);
+  successor->Say(Type::kRelease, kOther, Cause::kEnded);
+  CHECK(client->Hear(Type::kRelease, kOther).cause == 16);
+  // Its death ends the running task.
   first.Close();
-  for (Wire& line : lines) line.Reset();
-  CHECK(owner->Hear(Type::kRelease, 3).cause == 41);
+  for (Wire& connection : successor_connections) connection.Reset();
+  CHECK(client->Hear(Type::kRelease, 3).cause == 41);
 }
 
-TEST_CASE_FIXTURE(Address,
-                  "a process that was replaced between two dials takes with it what stood there alone") {
-  Begin();
-  agent->Reset();  // the door is never closed: no dial is refused
+TEST_CASE_FIXTURE(ReusedAddressFixture,
+                  "after a replacement between two dials only tasks attributed to the successor continue") {
+  StartWithRunningTask();
+  node->Reset();  // the port stays open, so that no dial is refused
   program->Logged("connection reset");
-  Takes(kOther);
-  heir->Answer(kOther, "here");
-  owner->Hear(Type::kAnswer, kOther);
-  bool both = false;
-  SUBCASE("the list tells since when it is up") {
-    Tell({Gone(), Heir(NowMs() + 1)});  // later than both: nothing is known to be with the heir
-    both = true;
+  PlaceTask(kOther);
+  successor->Answer(kOther, "here");
+  client->Hear(Type::kAnswer, kOther);
+  bool neither_attributed = false;
+  SUBCASE("the endpoint list gives the start time of the successor") {
+    // Later than the start of both tasks: neither is known to run at the successor.
+    PublishEndpoints({RemovedEntry(), SuccessorEntry(NowMs() + 1)});
+    neither_attributed = true;
   }
-  SUBCASE("the list does not tell") { Tell({Gone(), Heir(0)}); }
-  if (both) {
-    const Heard one = owner->Hear(), two = owner->Hear();
-    CHECK(one.type == Type::kRelease);
-    CHECK(two.type == Type::kRelease);
-    CHECK(one.task + two.task == kTask + kOther);
+  SUBCASE("the endpoint list gives no start time") { PublishEndpoints({RemovedEntry(), SuccessorEntry(0)}); }
+  if (neither_attributed) {
+    const Heard first_end = client->Hear(), second_end = client->Hear();
+    CHECK(first_end.type == Type::kRelease);
+    CHECK(second_end.type == Type::kRelease);
+    CHECK(first_end.task + second_end.task == kTask + kOther);
     return;
   }
-  CHECK(owner->Hear(Type::kRelease, kTask).cause == 41);
-  owner->NothingElse();
-  heir->Say(Type::kRelease, kOther, Cause::kEnded);
-  CHECK(owner->Hear(Type::kRelease, kOther).cause == 16);
+  CHECK(client->Hear(Type::kRelease, kTask).cause == 41);
+  client->NothingElse();
+  successor->Say(Type::kRelease, kOther, Cause::kEnded);
+  CHECK(client->Hear(Type::kRelease, kOther).cause == 16);
 }
 
-TEST_CASE_FIXTURE(Address, "what cannot be said to be with the heir is cut on the wire, then told over") {
-  Begin();
-  SUBCASE("there is an heir") { Tell({Gone(), Heir(0)}); }
-  SUBCASE("there is none") { Tell({Gone()}); }
-  CHECK(owner->Hear(Type::kRelease, kTask).cause == 41);
-  Heard heard = agent->Hear();
-  while (heard.type == Type::kTest) heard = agent->Hear();
+TEST_CASE_FIXTURE(
+    ReusedAddressFixture,
+    "a task that cannot be attributed to the successor is stopped at the node and reported as ended") {
+  StartWithRunningTask();
+  SUBCASE("with a successor") { PublishEndpoints({RemovedEntry(), SuccessorEntry(0)}); }
+  SUBCASE("without a successor") { PublishEndpoints({RemovedEntry()}); }
+  CHECK(client->Hear(Type::kRelease, kTask).cause == 41);
+  Heard heard = node->Hear();
+  while (heard.type == Type::kTest) heard = node->Hear();
   CHECK(heard.type == Type::kRelease);
   CHECK(heard.task == kTask);
   CHECK(heard.cause == 31);
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,4 +1,4 @@
-// What one process passes to the next as text, and files that two processes share.
+// Tests of the handover text between two processes, the files that they share, and node suspensions.
 #include "handover/handover.h"
 
 #include <doctest/doctest.h>
@@ -20,8 +20,8 @@
 namespace cluster_manager {
 namespace {
 
-Handover Sample() {
-  Handover all;
+Handover SampleHandover() {
+  Handover handover;
   HandedOverTask task;
   task.id = 0x7f3a9c21e0b4d655;
   task.node = 4242;
@@ -33,153 +33,155 @@
   task.task.memory = 1.5;
   task.payload = std::string("\x00\x64run\n\x80", 7);
   task.class_end = 3;
-  all.tasks.push_back(task);
-  all.ends.push_back({9, 17, TaskEnd::kCompleted});
-  all.ends.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
-  return all;
+  handover.tasks.push_back(task);
+  handover.ends.push_back({9, 17, TaskEnd::kCompleted});
+  handover.ends.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
+  return handover;
 }
 
-TEST_CASE("what is passed comes out as it went in, whatever bytes it holds") {
-  const Handover all = ParseHandover(FormatHandover(Sample()));
-  REQUIRE(all.tasks.size() == 1);
-  const HandedOverTask was = Sample().tasks[0], is = all.tasks[0];
-  CHECK(is.id == was.id);
-  CHECK(is.node == was.node);
-  CHECK(is.class_name == was.class_name);
-  CHECK(is.tenant == was.tenant);
-  CHECK(is.task.service == was.task.service);
-  CHECK(is.task.cores == was.task.cores);
-  CHECK(is.payload == was.payload);
-  CHECK(is.class_end == was.class_end);
-  REQUIRE(all.ends.size() == 2);
-  CHECK(all.ends[0].over == TaskEnd::kCompleted);
-  CHECK(all.ends[1].node == HandedOverCompletion::kAnyNode);
+TEST_CASE("a handover is parsed as it was formatted, including arbitrary bytes") {
+  const Handover handover = ParseHandover(FormatHandover(SampleHandover()));
+  REQUIRE(handover.tasks.size() == 1);
+  const HandedOverTask expected = SampleHandover().tasks[0], parsed = handover.tasks[0];
+  CHECK(parsed.id == expected.id);
+  CHECK(parsed.node == expected.node);
+  CHECK(parsed.class_name == expected.class_name);
+  CHECK(parsed.tenant == expected.tenant);
+  CHECK(parsed.task.service == expected.task.service);
+  CHECK(parsed.task.cores == expected.task.cores);
+  CHECK(parsed.payload == expected.payload);
+  CHECK(parsed.class_end == expected.class_end);
+  REQUIRE(handover.ends.size() == 2);
+  CHECK(handover.ends[0].over == TaskEnd::kCompleted);
+  CHECK(handover.ends[1].node == HandedOverCompletion::kAnyNode);
 }
 
-TEST_CASE("a text that is cut short anywhere, or has a wrong part, passes nothing") {
-  const std::string text = FormatHandover(Sample());
+TEST_CASE("a truncated or invalid handover text yields no tasks and no completions") {
+  const std::string text = FormatHandover(SampleHandover());
   for (std::size_t i = 0; i + 2 < text.size(); ++i) {
-    const Handover some = ParseHandover(text.substr(0, i));
-    CHECK(some.tasks.empty());
-    CHECK(some.ends.empty());
+    const Handover parsed = ParseHandover(text.substr(0, i));
+    CHECK(parsed.tasks.empty());
+    CHECK(parsed.ends.empty());
   }
-  std::string wrong = text;
-  wrong.replace(wrong.find("\"class_end\":3"), 13, "\"class_end\":9");
-  CHECK(ParseHandover(wrong).tasks.empty());
+  std::string invalid = text;
+  invalid.replace(invalid.find("\"class_end\":3"), 13, "\"class_end\":9");
+  CHECK(ParseHandover(invalid).tasks.empty());
 }
 
-TEST_CASE("a shared file is read when another has changed it, and never half") {
+TEST_CASE("a shared file is read in full when another writer has changed it") {
   std::string folder = (std::filesystem::temp_directory_path() / "willowrail-file-XXXXXX").string();
   REQUIRE(::mkdtemp(folder.data()) != nullptr);
-  SharedFile one(folder + "/f"), two(folder + "/f");
-  CHECK_FALSE(one.ReadIfChanged());
-  CHECK(one.Replace([](const auto& now) { return now ? "again" : "first"; }));
-  CHECK_FALSE(one.ReadIfChanged());
-  CHECK(two.ReadIfChanged() == "first");
-  CHECK_FALSE(two.ReadIfChanged());
-  CHECK(two.Replace([](const auto& now) { return now.value_or("") + "+"; }));
-  CHECK(one.ReadIfChanged() == "first+");
-  CHECK(two.Replace([](const auto& now) { return *now; }));  // the same text again is news
-  CHECK(one.ReadIfChanged() == "first+");
-  SharedFile nowhere(folder + "/none/f");
-  CHECK_FALSE(nowhere.Replace([](const auto&) { return "x"; }));
+  SharedFile first(folder + "/f"), second(folder + "/f");
+  CHECK_FALSE(first.ReadIfChanged());
+  CHECK(first.Replace([](const auto& current) { return current ? "again" : "first"; }));
+  CHECK_FALSE(first.ReadIfChanged());
+  CHECK(second.ReadIfChanged() == "first");
+  CHECK_FALSE(second.ReadIfChanged());
+  CHECK(second.Replace([](const auto& current) { return current.value_or("") + "+"; }));
+  CHECK(first.ReadIfChanged() == "first+");
+  CHECK(second.Replace(
+      [](const auto& current) { return *current; }));  // writing the same text again is a change
+  CHECK(first.ReadIfChanged() == "first+");
+  SharedFile in_missing_folder(folder + "/none/f");
+  CHECK_FALSE(in_missing_folder.Replace([](const auto&) { return "x"; }));
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a shared file that a killed writer has left in pieces holds no text, and is written whole again") {
+TEST_CASE("a shared file left incomplete by a killed writer is treated as absent and rewritten") {
   std::string folder = (std::filesystem::temp_directory_path() / "willowrail-file-XXXXXX").string();
   REQUIRE(::mkdtemp(folder.data()) != nullptr);
   const std::string path = folder + "/f";
   SharedFile writer(path);
   REQUIRE(writer.Replace([](const auto&) { return std::string(5000, 'a'); }));
   const std::uintmax_t size = std::filesystem::file_size(path);
-  for (const std::uintmax_t left : {std::uintmax_t{0}, std::uintmax_t{7}, size / 2, size - 1}) {
-    std::filesystem::resize_file(path, left);
+  for (const std::uintmax_t length : {std::uintmax_t{0}, std::uintmax_t{7}, size / 2, size - 1}) {
+    std::filesystem::resize_file(path, length);
     CHECK_FALSE(SharedFile(path).ReadIfChanged());
   }
-  std::filesystem::resize_file(path, size);  // as long as it was, the rest is not
+  std::filesystem::resize_file(path, size);  // the original length with zero bytes at the end
   CHECK_FALSE(SharedFile(path).ReadIfChanged());
-  std::ofstream(path) << "s-1\n";  // of no writer of ours
+  std::ofstream(path) << "s-1\n";  // not in the format of SharedFile
   CHECK_FALSE(SharedFile(path).ReadIfChanged());
-  bool none = false;
-  CHECK(writer.Replace([&](const auto& now) {
-    none = !now;
+  bool was_absent = false;
+  CHECK(writer.Replace([&](const auto& current) {
+    was_absent = !current;
     return "b";
   }));
-  CHECK(none);
-  CHECK(SharedFile(path).ReadIfChanged() == "b");  // and nothing of the longer text behind it
+  CHECK(was_absent);
+  CHECK(SharedFile(path).ReadIfChanged() == "b");  // without a rest of the longer text
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("who asks the exchange waits for no lock, and only the last change that waits is made") {
+TEST_CASE("RequestChange does not block on the lock and only the latest queued change is applied") {
   std::string folder = (std::filesystem::temp_directory_path() / "willowrail-file-XXXXXX").string();
   REQUIRE(::mkdtemp(folder.data()) != nullptr);
   const std::string path = folder + "/f";
-  const int held = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  REQUIRE(::flock(held, LOCK_EX) == 0);
-  std::atomic<int> woken = 0, made = 0;
+  const int lock_descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  REQUIRE(::flock(lock_descriptor, LOCK_EX) == 0);
+  std::atomic<int> wake_count = 0, applied = 0;
   {
-    SharedFileMonitor monitor({path, folder + "/none/f"}, std::chrono::milliseconds(1), [&] { ++woken; });
+    SharedFileMonitor monitor({path, folder + "/none/f"}, std::chrono::milliseconds(1),
+                              [&] { ++wake_count; });
     for (std::uint64_t i = 1; i <= 100; ++i) {
-      monitor.RequestChange(0, i, [&made, i](const auto&) {
-        ++made;
+      monitor.RequestChange(0, i, [&applied, i](const auto&) {
+        ++applied;
         return std::to_string(i);
       });
     }
-    CHECK(made == 0);
+    CHECK(applied == 0);
     CHECK(monitor.TakeUpdates().empty());
-    CHECK(::flock(held, LOCK_UN) == 0);
+    CHECK(::flock(lock_descriptor, LOCK_UN) == 0);
     std::uint64_t written = 0;
     while (written < 100) {
       for (const SharedFileMonitor::FileUpdate& update : monitor.TakeUpdates())
         written = std::max(written, update.written);
     }
-    CHECK(made <= 2);  // the one that the thread had begun, and the last
-    CHECK(woken >= 1);
-    monitor.RequestChange(1, 1, [](const auto&) { return "x"; });  // its folder is not there
+    CHECK(applied <= 2);  // the change that the thread had started, and the latest
+    CHECK(wake_count >= 1);
+    monitor.RequestChange(1, 1, [](const auto&) { return "x"; });  // the folder does not exist
     int error = 0;
     while (error == 0) {
       for (const SharedFileMonitor::FileUpdate& update : monitor.TakeUpdates()) error = update.error;
     }
     CHECK(error == ENOENT);
     monitor.RequestChange(0, 101, [](const auto&) { return "last"; });
-  }  // what was asked for is made before it ends
+  }  // requested changes are applied before the destructor returns
   CHECK(SharedFile(path).ReadIfChanged() == "last");
-  ::close(held);
+  ::close(lock_descriptor);
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("the exchange has no thread until somebody asks it or wants to follow others") {
+TEST_CASE("SharedFileMonitor starts its thread on the first request or watch") {
   std::string folder = (std::filesystem::temp_directory_path() / "willowrail-file-XXXXXX").string();
   REQUIRE(::mkdtemp(folder.data()) != nullptr);
-  const auto threads = [] {
+  const auto thread_count = [] {
     const std::filesystem::directory_iterator tasks("/proc/self/task");
     return std::distance(begin(tasks), end(tasks));
   };
-  // The kernel may list a thread for a moment after it was joined.
-  const auto threads_become = [&](auto wanted) {
-    for (int look = 0; look < 5000 && threads() != wanted; ++look) {
+  // The kernel may list a thread briefly after it was joined.
+  const auto thread_count_reaches = [&](auto expected) {
+    for (int attempt = 0; attempt < 5000 && thread_count() != expected; ++attempt) {
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    return threads() == wanted;
+    return thread_count() == expected;
   };
-  const auto before = threads();
+  const auto before = thread_count();
   {
     SharedFileMonitor monitor({folder + "/f"}, std::chrono::milliseconds(1), [] {});
-    CHECK(threads() == before);
-    SUBCASE("asked") {
+    CHECK(thread_count() == before);
+    SUBCASE("after a change request") {
       monitor.RequestChange(0, 1, [](const auto&) { return "x"; });
     }
-    SUBCASE("following") { monitor.WatchForChanges(); }
-    CHECK(threads() == before + 1);
+    SUBCASE("after a watch request") { monitor.WatchForChanges(); }
+    CHECK(thread_count() == before + 1);
     monitor.WatchForChanges();
-    CHECK(threads() == before + 1);
+    CHECK(thread_count() == before + 1);
   }
-  CHECK(threads_become(before));
+  CHECK(thread_count_reaches(before));
   std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a ban holds over the list and comes back cold, a node under a new uid is not banned") {
+TEST_CASE("a suspension overrides the endpoint list for its node only and a resumed node warms up") {
   NodeSuspensions suspensions(
       [](std::string_view id) { return static_cast<NodeSuspensions::NodeId>(id.back() - '0'); });
   scheduling::NodeEntry entry;
@@ -189,7 +191,7 @@
   CHECK(suspensions.ApplyTo(entry).state == scheduling::NodeState::kDraining);
   entry.state = scheduling::NodeState::kRemoved;
   CHECK(suspensions.ApplyTo(entry).state == scheduling::NodeState::kRemoved);
-  suspensions.OnNodeDelisted(3);  // it leaves the list, and comes again
+  suspensions.OnNodeDelisted(3);  // removed from the endpoint list and listed again
   entry.state = scheduling::NodeState::kReady;
   CHECK(suspensions.ApplyTo(entry).state == scheduling::NodeState::kDraining);
   scheduling::NodeEntry other = entry;
@@ -198,42 +200,45 @@
   CHECK(suspensions.Resume("s-3", 100));
   CHECK_FALSE(suspensions.Resume("s-3", 200));
   CHECK(suspensions.ApplyTo(entry).started_at == 100);
-  entry.started_at = 50;  // the list learns late of the restart: no other life, no second budget
+  entry.started_at = 50;  // the list reports an older start: no second slow start budget
   CHECK(suspensions.ApplyTo(entry).started_at == 100);
   entry.started_at = 150;
   CHECK(suspensions.ApplyTo(entry).started_at == 150);
 }
 
-TEST_CASE("bans of another process are taken over, and a line that is cut short is no id") {
+TEST_CASE("suspensions of another process are applied and a truncated line is ignored") {
   const auto number = [](std::string_view id) {
     return static_cast<NodeSuspensions::NodeId>(id.back() - '0');
   };
-  NodeSuspensions one(number), two(number);
-  one.Suspend("s-1");
-  one.Suspend("s-2");
-  CHECK(two.ApplyText(one.PendingChange()(std::nullopt), 0, 5) == std::vector<NodeSuspensions::NodeId>{1, 2});
-  CHECK(two.ApplyText("s-2\ns-3", 0, 6) == std::vector<NodeSuspensions::NodeId>{1});
-  CHECK(two.size() == 1);
-  CHECK_FALSE(two.IsSuspended("s-3"));
+  NodeSuspensions first(number), second(number);
+  first.Suspend("s-1");
+  first.Suspend("s-2");
+  CHECK(second.ApplyText(first.PendingChange()(std::nullopt), 0, 5) ==
+        std::vector<NodeSuspensions::NodeId>{1, 2});
+  CHECK(second.ApplyText("s-2\ns-3", 0, 6) == std::vector<NodeSuspensions::NodeId>{1});
+  CHECK(second.size() == 1);
+  CHECK_FALSE(second.IsSuspended("s-3"));
 }
 
-TEST_CASE("a call that is not written down yet holds over an older text, and goes into the next") {
+TEST_CASE("a suspension that is not written yet overrides an older file text and is included in the next") {
   const auto number = [](std::string_view id) {
     return static_cast<NodeSuspensions::NodeId>(id.back() - '0');
   };
-  NodeSuspensions one(number);
-  one.Suspend("s-1");
-  CHECK(one.ApplyText("s-2\n", 0, 5) ==
-        std::vector<NodeSuspensions::NodeId>{2});  // written before the call was
-  CHECK(one.IsSuspended("s-1"));
-  one.Resume("s-2", 6);
-  CHECK(one.ApplyText("s-2\ns-3\n", 0, 7) == std::vector<NodeSuspensions::NodeId>{3});
-  CHECK(one.PendingChange()("s-2\ns-3\ns-4\n") == "s-1\ns-3\ns-4\n");  // another's calls are kept
-  CHECK(one.PendingChange()(std::nullopt) == "s-1\ns-3\n");            // the text is lost: all that is known
-  CHECK(one.ApplyText("s-1\ns-3\n", one.last_call(), 8).empty());
-  CHECK(one.ApplyText("s-3\n", one.last_call(), 9) ==
-        std::vector<NodeSuspensions::NodeId>{1});  // back by another's call
-  CHECK(one.PendingChange()("") == "");
+  NodeSuspensions suspensions(number);
+  suspensions.Suspend("s-1");
+  CHECK(suspensions.ApplyText("s-2\n", 0, 5) ==
+        std::vector<NodeSuspensions::NodeId>{2});  // written before the suspension of s-1
+  CHECK(suspensions.IsSuspended("s-1"));
+  suspensions.Resume("s-2", 6);
+  CHECK(suspensions.ApplyText("s-2\ns-3\n", 0, 7) == std::vector<NodeSuspensions::NodeId>{3});
+  CHECK(suspensions.PendingChange()("s-2\ns-3\ns-4\n") ==
+        "s-1\ns-3\ns-4\n");  // changes by another process are kept
+  CHECK(suspensions.PendingChange()(std::nullopt) ==
+        "s-1\ns-3\n");  // the file is lost: all known suspensions are written
+  CHECK(suspensions.ApplyText("s-1\ns-3\n", suspensions.last_call(), 8).empty());
+  CHECK(suspensions.ApplyText("s-3\n", suspensions.last_call(), 9) ==
+        std::vector<NodeSuspensions::NodeId>{1});  // resumed by another process
+  CHECK(suspensions.PendingChange()("") == "");
 }
 
 }  // namespace
