--- a/src/zone_failover/sites.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -1,4 +1,4 @@
-#include "zone_failover/sites.h"
+#include "zone_failover/zone_failover.h"
 
 #include <algorithm>
 #include <cmath>
