--- a/src/completion/completion_queue.h
+++ b/src/completion/completion_queue.h
@@ -41,8 +41,8 @@
   using Time = std::int64_t;               // nanoseconds
   using ConnectionHandle = std::uint64_t;  // 0: none
 
-  // How long after the acknowledgement a close of the connection by the peer, sent before the peer read the
-  // completion, may still arrive.
+  // How long after the peer's acknowledgement a close of the connection that crossed the completion on the
+  // network may still arrive.
   static constexpr Time kCloseDetectionTime = 500'000'000;
   // Clients that confirm completions do so immediately: after this time without a confirmation the
   // connection is considered unresponsive.
