--- a/src/dispatch/actions.cpp
+++ b/src/dispatch/actions.cpp
@@ -33,7 +33,7 @@
       CancelAttempt(handle, timed_out, Outcome::kTimedOut);
     }
   });
-  if (zone_failover_ != nullptr) zone_failover_->Asked(action.node, request->attempt_started_at);
+  if (zone_failover_ != nullptr) zone_failover_->RecordRequest(action.node, request->attempt_started_at);
   LogAttempt(*request);
   nodes_->StartAttempt(action.node, request->id, request->attempt_id, request->payload, deadline);
 }
@@ -49,7 +49,7 @@
 }
 
 void Dispatcher::Execute(const scheduling::CheckNodeHealth& action) {
-  if (zone_failover_ != nullptr) zone_failover_->Asked(action.node, loop_->Now());
+  if (zone_failover_ != nullptr) zone_failover_->RecordRequest(action.node, loop_->Now());
   nodes_->CheckHealth(action.node);
 }
 
@@ -111,8 +111,8 @@
   request = requests_.Get(handle);
   if (request == nullptr || !IsAssigned(request->state)) return;  // ended by a callback of the port
   if (zone_failover_ != nullptr && outcome == Outcome::kTimedOut) {
-    zone_failover_->Unanswered(request->node, request->attempt_started_at);
-    zone_failover_->AttemptOver(request->node, false);
+    zone_failover_->RecordUnanswered(request->node, request->attempt_started_at);
+    zone_failover_->RecordAttemptEnd(request->node, false);
   }
   EndAttempt(handle, request, was_sent ? outcome : Outcome::kNotSent, EndReason::kUnspecified, {});
 }
@@ -150,7 +150,7 @@
   clients_->SetTaskRunning(request->client_connection, false);
   nodes_->SetTaskRunning(request->node, request->id, false);
   if (zone_failover_ != nullptr)
-    zone_failover_->TaskOver(request->task.cores, request->task.memory, loop_->Now());
+    zone_failover_->RecordTaskEnd(request->task.cores, request->task.memory, loop_->Now());
   if (notice == ClientNotice::kSend) {
     const TaskEnd completion = outcome == Outcome::kOk ? TaskEnd::kCompleted : TaskEnd::kAborted;
     clients_->SendCompletion(request->client_connection, request->id, completion);
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -65,20 +65,20 @@
 void Dispatcher::EvaluateZoneFailover() {
   const Time now = loop_->Now();
   int waiting = 0;
-  if (zone_failover_->in_force()) {
+  if (zone_failover_->is_active()) {
     requests_.ForEach([&](Handle, const Request& request) {
       waiting += request.state == RequestState::kWaiting &&
-                 now - request.attempt_started_at > zone_failover::ZoneFailover::kWaits;
+                 now - request.attempt_started_at > zone_failover::ZoneFailover::kWaitingThreshold;
     });
   }
-  const zone_failover::ZoneFailover::Orders orders = zone_failover_->Evaluate(waiting, now);
-  for (const std::string& line : orders.log) Log("%s", line.c_str());
-  for (const NodeId node : orders.ask) {
-    zone_failover_->Asked(node, now);
+  const zone_failover::ZoneFailover::Evaluation evaluation = zone_failover_->Evaluate(waiting, now);
+  for (const std::string& line : evaluation.log_lines) Log("%s", line.c_str());
+  for (const NodeId node : evaluation.nodes_to_check) {
+    zone_failover_->RecordRequest(node, now);
     nodes_->CheckReachability(node);
   }
-  if (orders.changed) HandleEvent(scheduling::ZonePolicyChanged{});
-  loop_->After(zone_failover::ZoneFailover::kEvaluateEvery, [this] { EvaluateZoneFailover(); });
+  if (evaluation.policy_changed) HandleEvent(scheduling::ZonePolicyChanged{});
+  loop_->After(zone_failover::ZoneFailover::kEvaluationInterval, [this] { EvaluateZoneFailover(); });
 }
 
 Dispatcher::Request* Dispatcher::FindRequest(TaskId id) {
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -43,7 +43,7 @@
   // Sets the ports. Must be called once, before any event arrives. The ports outlive the dispatcher.
   void Connect(ClientPort* clients, NodePort* nodes, DiscoveryPort* discovery);
   // Makes `zone_failover` the scheduler's zone policy, reports events to it from now on and evaluates it
-  // every ZoneFailover::kEvaluateEvery. It outlives the dispatcher.
+  // every ZoneFailover::kEvaluationInterval. It outlives the dispatcher.
   void SetZoneFailover(zone_failover::ZoneFailover* zone_failover);
   // Applies the operators' suspensions to every entry of the endpoint list from now on. `suspensions`
   // outlives the dispatcher.
--- a/src/dispatch/endpoint_list.cpp
+++ b/src/dispatch/endpoint_list.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 void Dispatcher::OnNodeProcessDied(NodeId node) {
-  if (zone_failover_ != nullptr) zone_failover_->Unanswered(node, loop_->Now());
+  if (zone_failover_ != nullptr) zone_failover_->RecordUnanswered(node, loop_->Now());
   FinishLostTasks(node, kForever, LostTaskFate::kEnded);
 }
 
@@ -73,10 +73,10 @@
                                              scheduling::NodeState state) {
   if (zone_failover_ == nullptr) return;
   const std::size_t kind = std::min<std::size_t>(listed.kind, cores_by_kind_.size() - 1);
-  const zone_failover::Size size{cores_by_kind_[kind], memory_by_kind_[kind], listed.free_cores,
-                                 listed.free_memory};
-  zone_failover_->Listed(listed.node, listed.zone, state == scheduling::NodeState::kReady, size,
-                         loop_->Now());
+  const zone_failover::NodeCapacity capacity{cores_by_kind_[kind], memory_by_kind_[kind], listed.free_cores,
+                                             listed.free_memory};
+  zone_failover_->RecordListing(listed.node, listed.zone, state == scheduling::NodeState::kReady, capacity,
+                                loop_->Now());
 }
 
 // The endpoint list may report a removal before the node's last messages have been read, so they are awaited
--- a/src/dispatch/node_events.cpp
+++ b/src/dispatch/node_events.cpp
@@ -22,7 +22,7 @@
 }
 
 void Dispatcher::OnAttemptAccepted(NodeId node, TaskId id, AttemptId attempt, std::string_view description) {
-  if (zone_failover_ != nullptr) zone_failover_->Answered(node, loop_->Now());
+  if (zone_failover_ != nullptr) zone_failover_->RecordReply(node, loop_->Now());
   Request* request = FindRequestByAttempt(id, attempt);
   if (request == nullptr) {  // the attempt was cancelled
     ++counters.node_replies_unmatched;
@@ -30,7 +30,7 @@
   }
   const Handle handle = handle_by_task_.at(id);
   ++counters.node_acceptances;
-  if (zone_failover_ != nullptr) zone_failover_->AttemptOver(node, true);
+  if (zone_failover_ != nullptr) zone_failover_->RecordAttemptEnd(node, true);
   loop_->Cancel(request->timer);
   if (IsUnanswered(request->state)) ++request->counters->fulfilled;
   Transition(request, RequestEvent::kAttemptAccepted);
@@ -44,13 +44,13 @@
 void Dispatcher::ReportAttemptToZoneFailover(NodeId node, const Request& request, const NodeReply& reply) {
   if (zone_failover_ == nullptr) return;
   if (reply.attempt_outcome == Outcome::kNoConnection) {
-    zone_failover_->Unanswered(node, request.attempt_started_at);
+    zone_failover_->RecordUnanswered(node, request.attempt_started_at);
   } else if (reply.attempt_outcome != Outcome::kAborted) {
-    zone_failover_->Answered(node, loop_->Now());
+    zone_failover_->RecordReply(node, loop_->Now());
   } else if (reply.task_outcome != Outcome::kAborted) {
-    zone_failover_->Spoke(node, loop_->Now());
+    zone_failover_->RecordReport(node, loop_->Now());
   }
-  zone_failover_->AttemptOver(node, reply.attempt_outcome == Outcome::kRefused);
+  zone_failover_->RecordAttemptEnd(node, reply.attempt_outcome == Outcome::kRefused);
 }
 
 void Dispatcher::OnAttemptEnded(NodeId node, TaskId id, AttemptId attempt, const NodeReply& reply) {
@@ -77,7 +77,8 @@
 
 void Dispatcher::OnTaskEnded(NodeId node, TaskId id, const NodeReply& reply) {
   const Outcome outcome = reply.task_outcome;
-  if (zone_failover_ != nullptr && outcome != Outcome::kAborted) zone_failover_->Spoke(node, loop_->Now());
+  if (zone_failover_ != nullptr && outcome != Outcome::kAborted)
+    zone_failover_->RecordReport(node, loop_->Now());
   Request* request = FindRequest(id);
   if (request == nullptr || !HasRunningTask(request->state) || request->node != node) {
     ++counters.node_replies_unmatched;
@@ -94,7 +95,7 @@
 
 void Dispatcher::OnTaskReport(NodeId node, TaskId id, scheduling::TaskReportKind kind, double level) {
   const Request* request = FindRequest(id);
-  if (zone_failover_ != nullptr) zone_failover_->Spoke(node, loop_->Now());
+  if (zone_failover_ != nullptr) zone_failover_->RecordReport(node, loop_->Now());
   if (request == nullptr || !IsAssigned(request->state) || request->node != node) return;
   HandleEvent(
       scheduling::TaskReported{handle_by_task_.at(id), request->attempt_count - 1, node, kind, level});
@@ -110,9 +111,9 @@
   if (zone_failover_ == nullptr) return;
   const Time now = loop_->Now();
   if (outcome == Outcome::kOk) {
-    zone_failover_->Answered(node, now);
+    zone_failover_->RecordReply(node, now);
   } else {
-    zone_failover_->Unanswered(node, now - duration);
+    zone_failover_->RecordUnanswered(node, now - duration);
   }
 }
 
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -33,7 +33,7 @@
 ServerProcess::ServerProcess(Files files, Config config)
     : files_(std::move(files)),
       config_(std::move(config)),
-      deployment_(zone_failover::DeploymentOf(config_.settings, config_.zones)),
+      deployment_(zone_failover::DeploymentFromSettings(config_.settings, config_.zones)),
       dispatcher_(&loop_, config_.settings, SeedHashes(config_.seed)),
       node_pool_(&loop_, {config_.dial_timeout, config_.keepalive}, SocketsWithoutAdmin(config_.sockets),
                  config_.seed, &dispatcher_),
@@ -164,7 +164,7 @@
     Log("configuration read again, bulletin at %s, classes: %d new, %d changed, %d dropped",
         AddressText(fresh.bulletin).c_str(), change.added, change.changed, change.dropped);
     // The failover plan names classes by their positions, which may have changed.
-    deployment_ = zone_failover::DeploymentOf(dispatcher_.classes().settings(), config_.zones);
+    deployment_ = zone_failover::DeploymentFromSettings(dispatcher_.classes().settings(), config_.zones);
   } catch (const std::exception& error) {
     ++counters.reloads_refused;
     Log("configuration not read again: %s", error.what());
@@ -174,7 +174,7 @@
 // All or nothing, like the configuration.
 void ServerProcess::ReloadZoneFailoverPlan() {
   try {
-    zone_failover_->Take(zone_failover::LoadPlan(files_.sites, deployment_));
+    zone_failover_->ApplyPlan(zone_failover::LoadPlan(files_.sites, deployment_));
     Log("sites: the plan of %s is followed from now on", files_.sites.c_str());
   } catch (const std::exception& error) {
     Log("sites: the plan was not read again, the one before goes on:\n%s", error.what());
@@ -201,7 +201,7 @@
                                                        {"deadlines", loop_.deadlines()}};
   for (const auto& [name, size] : sizes) std::fprintf(stderr, "size %s %zu\n", name, size);
   if (zone_failover_) {
-    for (const std::string& line : zone_failover_->Describe(loop_.Now()))
+    for (const std::string& line : zone_failover_->StatusLines(loop_.Now()))
       std::fprintf(stderr, "%s\n", line.c_str());
   }
   std::fflush(stderr);
--- a/src/zone_failover/admission_control.cpp
+++ b/src/zone_failover/admission_control.cpp
@@ -7,97 +7,98 @@
 namespace cluster_manager::zone_failover {
 namespace {
 
-constexpr std::uint64_t kDraw = 0x51735;  // a stream of its own: not that of any service
-constexpr std::int64_t kScaleEvery = 200'000'000;
+constexpr std::uint64_t kAdmissionDrawStream = 0x51735;  // separates these draws from other uses of HashDraw
+constexpr std::int64_t kScaleInterval = 200'000'000;
 
 }  // namespace
 
-AdmissionControl::AdmissionControl(AdmissionParameters terms, int ranks)
-    : terms_(terms), demand_(static_cast<std::size_t>(ranks)), level_(ranks) {}
+AdmissionControl::AdmissionControl(AdmissionParameters parameters, int ranks)
+    : parameters_(parameters), demand_(static_cast<std::size_t>(ranks)), level_(ranks) {}
 
-void AdmissionControl::Arrived(int rank, Amount amount, Time now) {
-  Flow& flow = demand_[static_cast<std::size_t>(rank)];
-  flow.cores.Note(now, amount.cores);
-  flow.memory.Note(now, amount.memory);
+void AdmissionControl::RecordArrival(int rank, Resources amount, Time now) {
+  ResourceRate& rate = demand_[static_cast<std::size_t>(rank)];
+  rate.cores.Note(now, amount.cores);
+  rate.memory.Note(now, amount.memory);
 }
 
-void AdmissionControl::Ended(Amount amount, Time now) {
-  ends_.cores.Note(now, amount.cores);
-  ends_.memory.Note(now, amount.memory);
+void AdmissionControl::RecordTaskEnd(Resources amount, Time now) {
+  release_rate_.cores.Note(now, amount.cores);
+  release_rate_.memory.Note(now, amount.memory);
 }
 
-void AdmissionControl::Open() {
-  level_ = ranks();
+void AdmissionControl::AdmitAll() {
+  level_ = rank_count();
   share_ = 0;
-  scale_ = fits_ = 1;
-  room_since_ = scaled_at_ = 0;
+  scale_ = demand_coverage_ = 1;
+  headroom_since_ = scaled_at_ = 0;
 }
 
-// How far down the order the supply reaches.
-AdmissionControl::Place AdmissionControl::Wanted(Amount supply, Time now) const {
+AdmissionControl::AdmissionLimit AdmissionControl::ComputeLimit(Resources supply, Time now) const {
   double cores = supply.cores, memory = supply.memory;
-  for (int rank = 0; rank < ranks(); ++rank) {
-    const Flow& flow = demand_[static_cast<std::size_t>(rank)];
-    const double its_cores = flow.cores.PerSecond(now), its_memory = flow.memory.PerSecond(now);
-    if (its_cores > cores || its_memory > memory) {
+  for (int rank = 0; rank < rank_count(); ++rank) {
+    const ResourceRate& rate = demand_[static_cast<std::size_t>(rank)];
+    const double rank_cores = rate.cores.PerSecond(now), rank_memory = rate.memory.PerSecond(now);
+    if (rank_cores > cores || rank_memory > memory) {
       const double share =
-          std::min(its_cores > 0 ? cores / its_cores : 1, its_memory > 0 ? memory / its_memory : 1);
+          std::min(rank_cores > 0 ? cores / rank_cores : 1, rank_memory > 0 ? memory / rank_memory : 1);
       return {rank, std::clamp(share, 0.0, 1.0)};
     }
-    cores -= its_cores;
-    memory -= its_memory;
+    cores -= rank_cores;
+    memory -= rank_memory;
   }
-  return {ranks(), 0};
+  return {rank_count(), 0};
 }
 
-void AdmissionControl::Evaluate(Amount free, int waiting, Time now) {
-  if (now - scaled_at_ >= kScaleEvery) {
+void AdmissionControl::Evaluate(Resources free, int waiting, Time now) {
+  if (now - scaled_at_ >= kScaleInterval) {
     scaled_at_ = now;
     scale_ = waiting > 0 ? scale_ * 0.9 : scale_ + 0.02;
-    scale_ = std::clamp(scale_, terms_.least_scale, terms_.most_scale);
+    scale_ = std::clamp(scale_, parameters_.min_scale, parameters_.max_scale);
   }
-  const double seconds = static_cast<double>(terms_.horizon) / 1e9;
-  Amount supply{ends_.cores.PerSecond(now) + std::max(0.0, free.cores) / seconds,
-                ends_.memory.PerSecond(now) + std::max(0.0, free.memory) / seconds};
+  const double horizon_seconds = static_cast<double>(parameters_.planning_horizon) / 1e9;
+  Resources supply{release_rate_.cores.PerSecond(now) + std::max(0.0, free.cores) / horizon_seconds,
+                   release_rate_.memory.PerSecond(now) + std::max(0.0, free.memory) / horizon_seconds};
   supply = {supply.cores * scale_, supply.memory * scale_};
-  Amount demand;
-  for (const Flow& flow : demand_) {
-    demand.cores += flow.cores.PerSecond(now);
-    demand.memory += flow.memory.PerSecond(now);
+  Resources demand;
+  for (const ResourceRate& rate : demand_) {
+    demand.cores += rate.cores.PerSecond(now);
+    demand.memory += rate.memory.PerSecond(now);
   }
-  fits_ = std::min({1.0, demand.cores > 0 ? supply.cores / demand.cores : 1.0,
-                    demand.memory > 0 ? supply.memory / demand.memory : 1.0});
-  const Place wanted = Wanted(supply, now);
-  if (wanted.level < level_ || (wanted.level == level_ && wanted.share <= share_)) {
-    if (wanted.level < level_ || wanted.share < share_) room_since_ = 0;
-    level_ = wanted.level;
-    share_ = wanted.share;
+  demand_coverage_ = std::min({1.0, demand.cores > 0 ? supply.cores / demand.cores : 1.0,
+                               demand.memory > 0 ? supply.memory / demand.memory : 1.0});
+  const AdmissionLimit limit = ComputeLimit(supply, now);
+  if (limit.level < level_ || (limit.level == level_ && limit.share <= share_)) {
+    if (limit.level < level_ || limit.share < share_) headroom_since_ = 0;
+    level_ = limit.level;
+    share_ = limit.share;
     return;
   }
-  // Up: the rank at the level by steps, the next only once it would have had room for a while.
-  const Place safe = Wanted({supply.cores * terms_.margin, supply.memory * terms_.margin}, now);
-  if (safe.level < level_ || (safe.level == level_ && safe.share <= share_)) {
-    room_since_ = 0;
+  // Raise the share of the rank at the level in steps, and the level only once the next rank has fitted for
+  // raise_delay.
+  const AdmissionLimit safe_limit =
+      ComputeLimit({supply.cores * parameters_.raise_margin, supply.memory * parameters_.raise_margin}, now);
+  if (safe_limit.level < level_ || (safe_limit.level == level_ && safe_limit.share <= share_)) {
+    headroom_since_ = 0;
     return;
   }
-  if (safe.level == level_) {
-    share_ = std::min(safe.share, share_ + terms_.share_step);
+  if (safe_limit.level == level_) {
+    share_ = std::min(safe_limit.share, share_ + parameters_.share_step);
     return;
   }
   if (share_ < 1) {
-    share_ = std::min(1.0, share_ + terms_.share_step);
+    share_ = std::min(1.0, share_ + parameters_.share_step);
     return;
   }
-  if (room_since_ == 0) room_since_ = now;
-  if (now - room_since_ < terms_.calm) return;
+  if (headroom_since_ == 0) headroom_since_ = now;
+  if (now - headroom_since_ < parameters_.raise_delay) return;
   ++level_;
   share_ = 0;
-  room_since_ = 0;
+  headroom_since_ = 0;
 }
 
 bool AdmissionControl::Admits(int rank, std::uint64_t name) const {
   if (rank != level_) return rank < level_;
-  return HashDraw(kDraw, name) < share_;
+  return HashDraw(kAdmissionDrawStream, name) < share_;
 }
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/admission_control.h
+++ b/src/zone_failover/admission_control.h
@@ -1,15 +1,18 @@
-// What is refused first where not everything can be taken. Values in, values out.
+// Admission control while zones are lost: decides which requests are rejected when capacity is insufficient.
 //
-// The plan puts all work into an order of ranks, the first to be kept longest. A level says how far down that
-// order is taken: ranks above it whole, the rank at it by a share, drawn by the task's name alike at all
-// cluster managers, ranks below not at all. So nothing of a higher rank is refused while something of a lower
-// one is taken. The level falls as soon as the work asked for is more than there is room for, and rises rank
-// by rank only when the next one has had room, with a margin, for a while.
+// Purpose: the failover plan puts all requests into an order of ranks; rank 0 is rejected last. The admission
+// level defines how far down that order requests are admitted: lower ranks completely, the rank at the level
+// by a share that is drawn from the task's name identically in all cluster managers, higher ranks not at all.
+// No request of a rank below the level is therefore rejected while one at or above it is admitted. The level
+// falls as soon as demand exceeds supply, and rises rank by rank only after the next rank has fitted with a
+// margin for raise_delay.
 //
-// How much there is room for: what the usable sites can still take by the list and the binds since, less a
-// reserve, divided by the known count of cluster managers, who all do the same; spread over the time that a
-// list is late; and what ends meanwhile. What comes of it corrects the estimate: where admitted work waits,
-// less is taken; where none does, a little more.
+// The supply is estimated from this cluster manager's share of the free capacity in the usable zones (see
+// ZoneFailover::FreeCapacity), distributed over the planning horizon, plus the rate at which running tasks
+// end. It is corrected by the outcome: while admitted requests are waiting the estimate is lowered, otherwise
+// it is raised slowly.
+//
+// Owned by ZoneFailover and used on its thread. No clock or I/O. Memory grows with the number of ranks.
 #pragma once
 
 #include <cstdint>
@@ -20,55 +23,66 @@
 namespace cluster_manager::zone_failover {
 
 struct AdmissionParameters {
-  std::int64_t horizon = 2'000'000'000;  // over which what is free now is given out
-  std::int64_t calm = 1'000'000'000;     // the next rank had room for so long
-  double margin = 0.9;                   // of the room, that may be used to raise the level
-  double share_step = 0.1;               // by which the share of the rank at the level rises in a look
-  double least_scale = 0.1, most_scale = 1.5;
+  // Nanoseconds over which the free capacity is distributed.
+  std::int64_t planning_horizon = 2'000'000'000;
+  std::int64_t raise_delay = 1'000'000'000;  // nanoseconds for which the next rank must fit before a raise
+  double raise_margin = 0.9;                 // share of the supply that may be used to raise the level
+  double share_step = 0.1;                   // increase of the share of the rank at the level per evaluation
+  double min_scale = 0.1, max_scale = 1.5;   // bounds of the correction of the estimated supply
 };
 
-struct Amount {  // of cores and memory, or of each a second
+// An amount of cores and memory, or a rate of either per second.
+struct Resources {
   double cores = 0, memory = 0;
 };
 
+// Tracks the demand by rank and the admission level.
 class AdmissionControl {
  public:
-  using Time = std::int64_t;
-  AdmissionControl(AdmissionParameters terms, int ranks);
+  using Time = std::int64_t;  // nanoseconds
+  AdmissionControl(AdmissionParameters parameters, int ranks);
 
-  void Arrived(int rank, Amount amount, Time now);
-  void Ended(Amount amount, Time now);
-  // `free`: of this cluster manager's part, now. `waiting`: admitted tasks that wait for room longer than
-  // they should. To be called every 100 ms or so while the plan is in force.
-  void Evaluate(Amount free, int waiting, Time now);
-  // The plan is no longer in force: all is taken.
-  void Open();
+  // Counts the demand of a request that arrived.
+  void RecordArrival(int rank, Resources amount, Time now);
+  // Counts the resources of a running task that ended.
+  void RecordTaskEnd(Resources amount, Time now);
+  // Adjusts the level. `free`: this cluster manager's share of the free capacity. `waiting`: the number of
+  // admitted tasks that have been waiting for capacity for too long. To be called every 100 ms or so while
+  // failover is active.
+  void Evaluate(Resources free, int waiting, Time now);
+  // Admits all requests again, once failover is no longer active.
+  void AdmitAll();
 
+  // `name`: the number that the share of the rank at the level is drawn from.
   bool Admits(int rank, std::uint64_t name) const;
+  // Ranks below the level are admitted completely.
   int level() const { return level_; }
+  // The admitted share of the rank at the level.
   double share() const { return share_; }
-  int ranks() const { return static_cast<int>(demand_.size()); }
+  int rank_count() const { return static_cast<int>(demand_.size()); }
+  // The current correction factor of the estimated supply.
   double scale() const { return scale_; }
-  // How much of what is asked for has room, over all ranks: 1 where all of it has.
-  double Fits() const { return fits_; }
+  // The share of the demand of all ranks that the supply covers, at most 1.
+  double demand_coverage() const { return demand_coverage_; }
 
  private:
-  struct Flow {
+  struct ResourceRate {
     DecayingRate cores, memory;
-    Flow() : cores(0, 2e9), memory(0, 2e9) {}
+    ResourceRate() : cores(0, 2e9), memory(0, 2e9) {}
   };
-  struct Place {  // in the order
+  struct AdmissionLimit {
     int level;
     double share;
   };
-  Place Wanted(Amount supply, Time now) const;
+  // How far down the order of ranks the supply covers the demand.
+  AdmissionLimit ComputeLimit(Resources supply, Time now) const;
 
-  AdmissionParameters terms_;
-  std::vector<Flow> demand_;
-  Flow ends_;
+  AdmissionParameters parameters_;
+  std::vector<ResourceRate> demand_;  // by rank
+  ResourceRate release_rate_;         // of tasks that end
   int level_;
-  double share_ = 0, scale_ = 1, fits_ = 1;
-  Time room_since_ = 0, scaled_at_ = 0;
+  double share_ = 0, scale_ = 1, demand_coverage_ = 1;
+  Time headroom_since_ = 0, scaled_at_ = 0;
 };
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/drill.h
+++ b/src/zone_failover/drill.h
@@ -1,4 +1,4 @@
-// The loss of sites on paper: what the plan would do with a list as it stands, by sums alone. No I/O.
+// Drill: computes what the failover plan would do at the loss of zones, given an endpoint list. No I/O.
 #pragma once
 
 #include <map>
@@ -10,49 +10,61 @@
 namespace cluster_manager::zone_failover {
 
 struct DrillNode {
-  int site = -1;
+  int zone = -1;
   bool in_service = true;
   double cores = 0, memory = 0, free_cores = 0, free_memory = 0;
 };
 
+// The result of a drill.
 struct Drill {
-  struct Site {
+  // Cores, unless named otherwise.
+  struct Zone {
     std::string name;
-    bool lost = false;
-    int nodes = 0;
-    // Cores: of its nodes, asked for now, that the plan would fill, room by that, and what it takes over.
-    double cores = 0, asked = 0, fill = 0, room = 0, takes = 0;
-    double memory_asked = 0, memory_fill = 0;
+    bool is_lost = false;
+    int node_count = 0;
+    double cores = 0,    // of its nodes
+        demand = 0,      // requested now
+        fill_limit = 0,  // up to which the plan fills the zone
+        headroom = 0,    // fill_limit less demand, summed over the nodes
+        taken_over = 0;  // demand of the lost zones that moves to this zone
+    double memory_demand = 0, memory_fill_limit = 0;
   };
   struct Class {
     std::string name;
     int rank = 0;
-    double asked = 0, kept = 0;  // cores, over all sites
+    double demand = 0, admitted = 0;  // cores, over all zones
   };
-  struct Step {
-    double at_s = 0, starts_per_s = 0;  // of each node that returns, by all cluster managers together
+  struct RecoveryStep {
+    // Seconds since the start of the recovery, and placements per second and returning node, all cluster
+    // managers together.
+    double at_s = 0, starts_per_s = 0;
   };
-  std::vector<Site> sites;
-  std::vector<Class> classes;  // in the order in which they are kept
-  std::vector<Step> comeback;
-  double asked = 0, can_take = 0;   // cores: of all work; of the sites that are left, less the reserve
-  double part = 0;                  // of what can be taken, for one cluster manager
-  double complete_s = 0;            // after the first nodes answer again, if all goes well
-  double least_s = 0, most_s = 0;   // from the loss to the verdict, under traffic
-  std::vector<std::string> broken;  // promises that the plan cannot keep
+  std::vector<Zone> zones;
+  std::vector<Class> classes;  // by rank; the first is rejected last
+  std::vector<RecoveryStep> recovery_steps;
+  // Cores requested in all zones, and cores that the remaining zones can provide, less the reserve.
+  double demand = 0, capacity = 0;
+  double capacity_per_manager = 0;
+  // Seconds from the first replies of a returning zone to the complete recovery, if every step succeeds.
+  double recovery_s = 0;
+  double min_detection_s = 0, max_detection_s = 0;  // seconds from the loss to its detection, under traffic
+  std::vector<std::string> violations;              // guarantees that the plan cannot keep
 };
 
-// `mix`: the share of asked cores by class, in any unit; empty: alike. `patience`: how long a question may go
-// unanswered, `cold_sends` in `fall` on a node younger than `cold`: of the settings.
 struct DrillParameters {
-  std::map<std::string, double> mix;
-  std::int64_t patience = 250'000'000, cold = 0, fall = 0;
-  double cold_sends = 0;
+  std::map<std::string, double> demand_shares;  // of the requested cores by class, in any unit; empty: equal
+  // Settings that the plan depends on, in nanoseconds. `request_timeout`: until a request to a node counts as
+  // unanswered.
+  std::int64_t request_timeout = 250'000'000, slow_start_duration = 0, overload_window = 0;
+  // Task starts per overload_window on a node younger than slow_start_duration; 0: no limit.
+  double slow_start_sends = 0;
 };
+
+// `lost_zones`: the numbers of the zones to be lost.
 Drill RunDrill(const Plan& plan, const Deployment& deployment, const std::vector<DrillNode>& nodes,
-               const std::vector<int>& lose, const DrillParameters& terms);
+               const std::vector<int>& lost_zones, const DrillParameters& parameters);
 
-std::string AsTable(const Drill& drill);
-nlohmann::json AsJson(const Drill& drill);
+std::string FormatTable(const Drill& drill);
+nlohmann::json ToJson(const Drill& drill);
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/plan.cpp
+++ b/src/zone_failover/plan.cpp
@@ -5,28 +5,28 @@
 #include <utility>
 
 namespace cluster_manager::zone_failover {
-Deployment DeploymentOf(const scheduling::Settings& settings, std::vector<std::string> zones) {
+Deployment DeploymentFromSettings(const scheduling::Settings& settings, std::vector<std::string> zones) {
   Deployment deployment;
-  deployment.sites = std::move(zones);
+  deployment.zones = std::move(zones);
   for (const scheduling::ClassSettings& each : settings.classes) {
     deployment.classes.push_back(each.name);
-    deployment.worth.push_back(each.priority_weight);
+    deployment.priority_weights.push_back(each.priority_weight);
   }
-  deployment.managers = settings.scheduler_count;
-  deployment.most_away = settings.max_retry_after;
+  deployment.manager_count = settings.scheduler_count;
+  deployment.max_retry_after = settings.max_retry_after;
   return deployment;
 }
 
-int Plan::Rank(int class_index, bool over_share, bool retry, bool large) const {
-  for (std::size_t i = 0; i < order.size(); ++i) {
-    const RankRule& rule = order[i];
-    const auto meets = [](int wanted, bool is) { return wanted < 0 || (wanted == 1) == is; };
+int Plan::RankOf(int class_index, bool over_share, bool retry, bool large) const {
+  for (std::size_t i = 0; i < rank_rules.size(); ++i) {
+    const RankRule& rule = rank_rules[i];
+    const auto matches = [](int condition, bool value) { return condition < 0 || (condition == 1) == value; };
     if ((rule.class_index == RankRule::kAny || rule.class_index == class_index) &&
-        meets(rule.over_share, over_share) && meets(rule.retry, retry) && meets(rule.large, large)) {
+        matches(rule.over_share, over_share) && matches(rule.retry, retry) && matches(rule.large, large)) {
       return static_cast<int>(i);
     }
   }
-  return std::max(0, ranks() - 1);
+  return std::max(0, rank_count() - 1);
 }
 
 Plan DefaultPlan(const Deployment& deployment) {
@@ -34,16 +34,18 @@
   std::vector<int> classes(deployment.classes.size());
   std::iota(classes.begin(), classes.end(), 0);
   std::ranges::stable_sort(classes, [&](int a, int b) {
-    return deployment.worth[static_cast<std::size_t>(a)] > deployment.worth[static_cast<std::size_t>(b)];
+    return deployment.priority_weights[static_cast<std::size_t>(a)] >
+           deployment.priority_weights[static_cast<std::size_t>(b)];
   });
-  for (const int over : {0, 1}) {
-    for (const int each : classes) {
-      for (const int retry : {0, 1}) plan.order.push_back({each, over, retry, -1});
+  for (const int over_share : {0, 1}) {
+    for (const int class_index : classes) {
+      for (const int retry : {0, 1}) plan.rank_rules.push_back({class_index, over_share, retry, -1});
     }
   }
-  plan.tied.assign(deployment.classes.size(), Tied::kWait);
-  if (deployment.most_away > 0) plan.away_most = std::min(plan.away_most, deployment.most_away);
-  plan.away_least = std::min(plan.away_least, plan.away_most);
+  plan.bound_request_policies.assign(deployment.classes.size(), BoundRequestPolicy::kWait);
+  if (deployment.max_retry_after > 0)
+    plan.max_retry_after = std::min(plan.max_retry_after, deployment.max_retry_after);
+  plan.min_retry_after = std::min(plan.min_retry_after, plan.max_retry_after);
   return plan;
 }
 
--- a/src/zone_failover/plan_reader.cpp
+++ b/src/zone_failover/plan_reader.cpp
@@ -1,4 +1,4 @@
-// Reads a failover plan from JSON and checks it against the deployment; reports all mistakes of one file
+// Reads a failover plan from JSON and validates it against the deployment; reports all errors of a file
 // together.
 #include <algorithm>
 #include <numeric>
@@ -15,49 +15,54 @@
 
 using nlohmann::json;
 
-// The kinds of fields that a plan has.
-class Reader : public json_files::DocumentChecker {
+// Reads and validates the kinds of fields that a plan has.
+class PlanReader : public json_files::DocumentChecker {
  public:
-  Reader(std::string file, const Deployment& deployment)
+  PlanReader(std::string file, const Deployment& deployment)
       : DocumentChecker(std::move(file)), deployment_(deployment) {}
 
-  // The member `name` of an object; each other name in it is a mistake. Null where it is absent or no object.
-  const json* Member(const json& in, const std::string& place, const char* name,
+  // The member `name` of an object. Reports each member of it that is not in `members`. Null if it is
+  // absent or not an object.
+  const json* Member(const json& in, const std::string& location, const char* name,
                      const std::vector<std::string>& members) {
     const auto it = in.find(name);
-    if (it == in.end() || !Object(*it, json_files::Below(place, name), members)) return nullptr;
+    if (it == in.end() || !Object(*it, json_files::Below(location, name), members)) return nullptr;
     return &*it;
   }
+  // Reads the number `name`, if present, from `min` to `max`, multiplied by `unit`.
   template <typename Value>
-  void Figure(const json* in, const std::string& place, const char* name, double least, double most,
-              double unit, Value* to) {
+  void ReadNumber(const json* in, const std::string& location, const char* name, double min, double max,
+                  double unit, Value* target) {
     if (in == nullptr) return;
     const auto it = in->find(name);
     if (it == in->end()) return;
-    if (!Number(*it, json_files::Below(place, name), least, most)) return;
-    *to = static_cast<Value>(it->get<double>() * unit);
+    if (!Number(*it, json_files::Below(location, name), min, max)) return;
+    *target = static_cast<Value>(it->get<double>() * unit);
   }
-  void Ms(const json* in, const std::string& place, const char* name, double least, double most,
-          std::int64_t* to) {
-    Figure(in, place, name, least, most, 1e6, to);
+  // Reads a duration in milliseconds into nanoseconds.
+  void ReadMilliseconds(const json* in, const std::string& location, const char* name, double min, double max,
+                        std::int64_t* target) {
+    ReadNumber(in, location, name, min, max, 1e6, target);
   }
-  static constexpr int kNone = -2;
-  int Class(const json& value, const std::string& place) {
+  static constexpr int kInvalidClass = -2;
+  // The index of the named class, kAny for "*", or kInvalidClass after reporting an error.
+  int ReadClass(const json& value, const std::string& location) {
     if (value == "*") return RankRule::kAny;
     const auto it = value.is_string() ? std::ranges::find(deployment_.classes, value.get<std::string>())
                                       : deployment_.classes.end();
     if (it == deployment_.classes.end()) {
-      AddError(place, "is " + value.dump() + ", write a class of the settings: " +
-                          json_files::Listed(deployment_.classes) + "; or \"*\" for all");
-      return kNone;
+      AddError(location, "is " + value.dump() + ", write a class of the settings: " +
+                             json_files::Listed(deployment_.classes) + "; or \"*\" for all");
+      return kInvalidClass;
     }
     return static_cast<int>(it - deployment_.classes.begin());
   }
-  int Condition(const json& in, const std::string& place, const char* name) {
+  // 1, 0, or -1 if the condition is absent.
+  int ReadCondition(const json& in, const std::string& location, const char* name) {
     const auto it = in.find(name);
     if (it == in.end()) return -1;
     if (!it->is_boolean()) {
-      AddError(json_files::Below(place, name),
+      AddError(json_files::Below(location, name),
                "is " + it->dump() + ", write true or false, or leave it out for either");
       return -1;
     }
@@ -69,62 +74,63 @@
 };
 
 constexpr double kNanosecondsPerMillisecond = 1e6;
-constexpr double kLongestRetryAfterMs = 60'000;
+constexpr double kMaxRetryAfterMs = 60'000;
 
 std::string MillisecondsText(std::int64_t nanoseconds) { return std::to_string(nanoseconds / 1'000'000); }
 
-void ReadDetection(const json& top, Reader* read, HealthMonitorParameters* watch) {
-  const json* verdict = read->Member(top, "", "verdict",
-                                     {"suspect_share", "least_nodes", "window_ms", "quiet_ms",
-                                      "lost_after_ms", "ask_again_ms", "asked_at_once"});
-  read->Figure(verdict, "verdict", "suspect_share", 0.1, 1, 1, &watch->suspect_share);
-  read->Figure(verdict, "verdict", "least_nodes", 1, 100, 1, &watch->least);
-  read->Ms(verdict, "verdict", "window_ms", 500, 30'000, &watch->window);
-  read->Ms(verdict, "verdict", "quiet_ms", 100, 10'000, &watch->quiet);
-  read->Ms(verdict, "verdict", "lost_after_ms", 0, 30'000, &watch->lost_after);
-  read->Ms(verdict, "verdict", "ask_again_ms", 200, 30'000, &watch->ask_again);
-  read->Figure(verdict, "verdict", "asked_at_once", 1, 16, 1, &watch->asked_at_once);
-  if (watch->least > watch->asked_at_once)
-    read->AddError("verdict.least_nodes",
-                   "is " + std::to_string(watch->least) + ", write at most asked_at_once, " +
-                       std::to_string(watch->asked_at_once) + ": more are never asked together");
+void ReadDetection(const json& top, PlanReader* reader, HealthMonitorParameters* parameters) {
+  const json* detection = reader->Member(top, "", "verdict",
+                                         {"suspect_share", "least_nodes", "window_ms", "quiet_ms",
+                                          "lost_after_ms", "ask_again_ms", "asked_at_once"});
+  reader->ReadNumber(detection, "verdict", "suspect_share", 0.1, 1, 1, &parameters->suspect_share);
+  reader->ReadNumber(detection, "verdict", "least_nodes", 1, 100, 1, &parameters->min_silent_nodes);
+  reader->ReadMilliseconds(detection, "verdict", "window_ms", 500, 30'000, &parameters->evidence_window);
+  reader->ReadMilliseconds(detection, "verdict", "quiet_ms", 100, 10'000, &parameters->silence_threshold);
+  reader->ReadMilliseconds(detection, "verdict", "lost_after_ms", 0, 30'000, &parameters->confirmation_time);
+  reader->ReadMilliseconds(detection, "verdict", "ask_again_ms", 200, 30'000, &parameters->check_interval);
+  reader->ReadNumber(detection, "verdict", "asked_at_once", 1, 16, 1, &parameters->nodes_per_check);
+  if (parameters->min_silent_nodes > parameters->nodes_per_check)
+    reader->AddError("verdict.least_nodes", "is " + std::to_string(parameters->min_silent_nodes) +
+                                                ", write at most asked_at_once, " +
+                                                std::to_string(parameters->nodes_per_check) +
+                                                ": no more nodes are checked at once");
 }
 
-void ReadBoundRequests(const json& load, const Deployment& deployment, Reader* read, Plan* plan) {
-  const json* tied = read->Member(load, "load", "tied", deployment.classes);
-  if (tied == nullptr) return;
-  for (const auto& [name, value] : tied->items()) {
+void ReadBoundRequests(const json& load, const Deployment& deployment, PlanReader* reader, Plan* plan) {
+  const json* policies = reader->Member(load, "load", "tied", deployment.classes);
+  if (policies == nullptr) return;
+  for (const auto& [name, value] : policies->items()) {
     const auto it = std::ranges::find(deployment.classes, name);
     if (it == deployment.classes.end()) continue;
     const auto index = static_cast<std::size_t>(it - deployment.classes.begin());
     if (value == "wait") {
-      plan->tied[index] = Tied::kWait;
+      plan->bound_request_policies[index] = BoundRequestPolicy::kWait;
     } else if (value == "refuse") {
-      plan->tied[index] = Tied::kRefuse;
+      plan->bound_request_policies[index] = BoundRequestPolicy::kReject;
     } else {
-      read->AddError("load.tied." + name, "is " + value.dump() + ", write \"wait\" or \"refuse\"");
+      reader->AddError("load.tied." + name, "is " + value.dump() + ", write \"wait\" or \"refuse\"");
     }
   }
 }
 
-void ReadLoad(const json& top, const Deployment& deployment, Reader* read, Plan* plan) {
-  const json* load = read->Member(top, "", "load", {"reserve", "fill_cores", "fill_memory", "tied"});
-  read->Figure(load, "load", "reserve", 0, 0.9, 1, &plan->reserve);
-  read->Figure(load, "load", "fill_cores", 0.1, 10, 1, &plan->fill_cores);
-  read->Figure(load, "load", "fill_memory", 0.1, 10, 1, &plan->fill_memory);
-  if (load != nullptr && load->contains("tied")) ReadBoundRequests(*load, deployment, read, plan);
+void ReadLoad(const json& top, const Deployment& deployment, PlanReader* reader, Plan* plan) {
+  const json* load = reader->Member(top, "", "load", {"reserve", "fill_cores", "fill_memory", "tied"});
+  reader->ReadNumber(load, "load", "reserve", 0, 0.9, 1, &plan->capacity_reserve);
+  reader->ReadNumber(load, "load", "fill_cores", 0.1, 10, 1, &plan->cores_overcommit);
+  reader->ReadNumber(load, "load", "fill_memory", 0.1, 10, 1, &plan->memory_overcommit);
+  if (load != nullptr && load->contains("tied")) ReadBoundRequests(*load, deployment, reader, plan);
 }
 
-// Reads the order of admission, rule by rule, and checks that every class has a place in it.
-class OrderReader {
+// Reads the rank rules and checks that they cover every class.
+class RankRuleReader {
  public:
-  OrderReader(const Deployment& deployment, Reader* read, std::vector<RankRule>* order)
-      : deployment_(deployment), read_(read), order_(order) {}
+  RankRuleReader(const Deployment& deployment, PlanReader* reader, std::vector<RankRule>* rules)
+      : deployment_(deployment), reader_(reader), rules_(rules) {}
 
   void ReadAll(const json& rules) {
-    order_->clear();
+    rules_->clear();
     if (!rules.is_array() || rules.empty())
-      read_->AddError("admission.order", "is " + rules.dump() + ", write a list of rules");
+      reader_->AddError("admission.order", "is " + rules.dump() + ", write a list of rules");
     for (std::size_t i = 0; rules.is_array() && i < rules.size(); ++i) {
       ReadRule(rules[i], "admission.order[" + std::to_string(i) + "]");
     }
@@ -132,28 +138,28 @@
   }
 
  private:
-  void ReadRule(const json& rule, const std::string& place) {
-    if (!read_->Object(rule, place, {"class", "over_share", "retry", "large"})) return;
+  void ReadRule(const json& rule, const std::string& location) {
+    if (!reader_->Object(rule, location, {"class", "over_share", "retry", "large"})) return;
     if (!rule.contains("class")) {
-      read_->AddError(place + ".class", "is missing, write a class of the settings: " +
-                                            json_files::Listed(deployment_.classes));
+      reader_->AddError(location + ".class", "is missing, write a class of the settings: " +
+                                                 json_files::Listed(deployment_.classes));
       return;
     }
-    RankRule made;
-    made.class_index = read_->Class(rule["class"], place + ".class");
-    made.over_share = read_->Condition(rule, place, "over_share");
-    made.retry = read_->Condition(rule, place, "retry");
-    made.large = read_->Condition(rule, place, "large");
-    if (made.class_index == Reader::kNone) return;
-    const std::vector<int> classes = ClassesOf(made);
+    RankRule rank_rule;
+    rank_rule.class_index = reader_->ReadClass(rule["class"], location + ".class");
+    rank_rule.over_share = reader_->ReadCondition(rule, location, "over_share");
+    rank_rule.retry = reader_->ReadCondition(rule, location, "retry");
+    rank_rule.large = reader_->ReadCondition(rule, location, "large");
+    if (rank_rule.class_index == PlanReader::kInvalidClass) return;
+    const std::vector<int> classes = MatchingClasses(rank_rule);
     if (std::ranges::all_of(classes, [this](int each) { return unconditional_.contains(each); }))
-      read_->AddError(place, "is never met: rules before it take all of " + rule["class"].get<std::string>() +
-                                 ", move it before those");
-    if (made.over_share < 0 && made.retry < 0 && made.large < 0)
+      reader_->AddError(location, "is never matched: earlier rules match all requests of " +
+                                      rule["class"].get<std::string>() + ", move it before them");
+    if (rank_rule.over_share < 0 && rank_rule.retry < 0 && rank_rule.large < 0)
       unconditional_.insert(classes.begin(), classes.end());
-    order_->push_back(made);
+    rules_->push_back(rank_rule);
   }
-  std::vector<int> ClassesOf(const RankRule& rule) const {
+  std::vector<int> MatchingClasses(const RankRule& rule) const {
     if (rule.class_index != RankRule::kAny) return {rule.class_index};
     std::vector<int> all(deployment_.classes.size());
     std::iota(all.begin(), all.end(), 0);
@@ -162,81 +168,87 @@
   void CheckEachClassHasARule() {
     for (std::size_t i = 0; i < deployment_.classes.size(); ++i) {
       if (!unconditional_.contains(static_cast<int>(i)))
-        read_->AddError("admission.order",
-                        "has no rule for all of " + deployment_.classes[i] +
-                            ", write one with the class alone, behind those with conditions");
+        reader_->AddError("admission.order",
+                          "has no unconditional rule for " + deployment_.classes[i] +
+                              ", write one with the class alone, after the rules with conditions");
     }
   }
 
   const Deployment& deployment_;
-  Reader* read_;
-  std::vector<RankRule>* order_;
+  PlanReader* reader_;
+  std::vector<RankRule>* rules_;
   std::set<int> unconditional_;  // classes that have a rule without conditions
 };
 
-void ReadAdmission(const json& top, const Deployment& deployment, Reader* read, Plan* plan) {
+void ReadAdmission(const json& top, const Deployment& deployment, PlanReader* reader, Plan* plan) {
   const json* admission =
-      read->Member(top, "", "admission", {"order", "horizon_ms", "calm_ms", "margin", "share_step"});
-  read->Ms(admission, "admission", "horizon_ms", 100, 60'000, &plan->admission.horizon);
-  read->Ms(admission, "admission", "calm_ms", 0, 60'000, &plan->admission.calm);
-  read->Figure(admission, "admission", "margin", 0.1, 1, 1, &plan->admission.margin);
-  read->Figure(admission, "admission", "share_step", 0.01, 1, 1, &plan->admission.share_step);
+      reader->Member(top, "", "admission", {"order", "horizon_ms", "calm_ms", "margin", "share_step"});
+  reader->ReadMilliseconds(admission, "admission", "horizon_ms", 100, 60'000,
+                           &plan->admission.planning_horizon);
+  reader->ReadMilliseconds(admission, "admission", "calm_ms", 0, 60'000, &plan->admission.raise_delay);
+  reader->ReadNumber(admission, "admission", "margin", 0.1, 1, 1, &plan->admission.raise_margin);
+  reader->ReadNumber(admission, "admission", "share_step", 0.01, 1, 1, &plan->admission.share_step);
   if (admission == nullptr || !admission->contains("order")) return;
-  OrderReader(deployment, read, &plan->order).ReadAll((*admission)["order"]);
+  RankRuleReader(deployment, reader, &plan->rank_rules).ReadAll((*admission)["order"]);
 }
 
-void ReadRecovery(const json& top, Reader* read, Plan* plan) {
-  const json* recovery = read->Member(top, "", "return",
-                                      {"first_per_s", "factor", "step_ms", "complete_per_s", "good",
-                                       "come_back", "hold_ms", "hold_most_ms", "relapse_within_ms"});
-  RecoveryRampParameters& ramp = plan->comeback;
-  HealthMonitorParameters& watch = plan->watch;
-  read->Figure(recovery, "return", "first_per_s", 0.01, 100, 1, &ramp.first);
-  read->Figure(recovery, "return", "factor", 1.1, 10, 1, &ramp.factor);
-  read->Ms(recovery, "return", "step_ms", 100, 60'000, &ramp.step);
-  read->Figure(recovery, "return", "complete_per_s", 0.01, 1000, 1, &ramp.complete);
-  read->Figure(recovery, "return", "good", 0.1, 1, 1, &ramp.good);
-  read->Figure(recovery, "return", "come_back", 0.01, 1, 1, &watch.come_back);
-  read->Ms(recovery, "return", "hold_ms", 0, 60'000, &watch.hold);
-  read->Ms(recovery, "return", "hold_most_ms", 0, 600'000, &watch.hold_most);
-  read->Ms(recovery, "return", "relapse_within_ms", 0, 600'000, &watch.relapse_within);
-  if (watch.hold_most < watch.hold)
-    read->AddError("return.hold_most_ms", "is " + MillisecondsText(watch.hold_most) +
-                                              ", write at least hold_ms, " + MillisecondsText(watch.hold));
-  if (ramp.complete < ramp.first)
-    read->AddError("return.complete_per_s", "is " + json_files::Plain(ramp.complete) +
-                                                ", write at least first_per_s, " +
-                                                json_files::Plain(ramp.first));
+void ReadRecovery(const json& top, PlanReader* reader, Plan* plan) {
+  const json* recovery = reader->Member(top, "", "return",
+                                        {"first_per_s", "factor", "step_ms", "complete_per_s", "good",
+                                         "come_back", "hold_ms", "hold_most_ms", "relapse_within_ms"});
+  RecoveryRampParameters& ramp = plan->recovery_ramp;
+  HealthMonitorParameters& health_monitor = plan->health_monitor;
+  reader->ReadNumber(recovery, "return", "first_per_s", 0.01, 100, 1, &ramp.initial_rate);
+  reader->ReadNumber(recovery, "return", "factor", 1.1, 10, 1, &ramp.rate_factor);
+  reader->ReadMilliseconds(recovery, "return", "step_ms", 100, 60'000, &ramp.step_duration);
+  reader->ReadNumber(recovery, "return", "complete_per_s", 0.01, 1000, 1, &ramp.complete_rate);
+  reader->ReadNumber(recovery, "return", "good", 0.1, 1, 1, &ramp.min_success_share);
+  reader->ReadNumber(recovery, "return", "come_back", 0.01, 1, 1, &health_monitor.recovered_share);
+  reader->ReadMilliseconds(recovery, "return", "hold_ms", 0, 60'000, &health_monitor.recovery_hold);
+  reader->ReadMilliseconds(recovery, "return", "hold_most_ms", 0, 600'000, &health_monitor.max_recovery_hold);
+  reader->ReadMilliseconds(recovery, "return", "relapse_within_ms", 0, 600'000,
+                           &health_monitor.relapse_window);
+  if (health_monitor.max_recovery_hold < health_monitor.recovery_hold)
+    reader->AddError("return.hold_most_ms", "is " + MillisecondsText(health_monitor.max_recovery_hold) +
+                                                ", write at least hold_ms, " +
+                                                MillisecondsText(health_monitor.recovery_hold));
+  if (ramp.complete_rate < ramp.initial_rate)
+    reader->AddError("return.complete_per_s", "is " + json_files::Plain(ramp.complete_rate) +
+                                                  ", write at least first_per_s, " +
+                                                  json_files::Plain(ramp.initial_rate));
 }
 
-void ReadRetryAfter(const json& top, const Deployment& deployment, Reader* read, Plan* plan) {
-  const json* refusals = read->Member(top, "", "refusals", {"away_least_ms", "away_most_ms"});
-  const double most = deployment.most_away > 0
-                          ? static_cast<double>(deployment.most_away) / kNanosecondsPerMillisecond
-                          : kLongestRetryAfterMs;
-  read->Ms(refusals, "refusals", "away_least_ms", 0, most, &plan->away_least);
-  read->Ms(refusals, "refusals", "away_most_ms", 1, most, &plan->away_most);
-  if (plan->away_least > plan->away_most)
-    read->AddError("refusals.away_least_ms", "is " + MillisecondsText(plan->away_least) +
-                                                 ", write at most away_most_ms, " +
-                                                 MillisecondsText(plan->away_most));
+void ReadRetryAfter(const json& top, const Deployment& deployment, PlanReader* reader, Plan* plan) {
+  const json* rejections = reader->Member(top, "", "refusals", {"away_least_ms", "away_most_ms"});
+  const double max_retry_after_ms =
+      deployment.max_retry_after > 0
+          ? static_cast<double>(deployment.max_retry_after) / kNanosecondsPerMillisecond
+          : kMaxRetryAfterMs;
+  reader->ReadMilliseconds(rejections, "refusals", "away_least_ms", 0, max_retry_after_ms,
+                           &plan->min_retry_after);
+  reader->ReadMilliseconds(rejections, "refusals", "away_most_ms", 1, max_retry_after_ms,
+                           &plan->max_retry_after);
+  if (plan->min_retry_after > plan->max_retry_after)
+    reader->AddError("refusals.away_least_ms", "is " + MillisecondsText(plan->min_retry_after) +
+                                                   ", write at most away_most_ms, " +
+                                                   MillisecondsText(plan->max_retry_after));
 }
 
 }  // namespace
 
 Plan ReadPlan(const json& document, const std::string& file, const Deployment& deployment) {
-  Reader read(file, deployment);
+  PlanReader reader(file, deployment);
   Plan plan = DefaultPlan(deployment);
-  if (!read.Object(document, "", {"version", "verdict", "load", "admission", "return", "refusals"}))
-    read.ThrowIfInvalid();
-  if (!document.contains("version")) read.AddError("version", "is missing, write 1");
-  read.Figure(&document, "", "version", 1, 1, 1, &plan.version);
-  ReadDetection(document, &read, &plan.watch);
-  ReadLoad(document, deployment, &read, &plan);
-  ReadAdmission(document, deployment, &read, &plan);
-  ReadRecovery(document, &read, &plan);
-  ReadRetryAfter(document, deployment, &read, &plan);
-  read.ThrowIfInvalid();
+  if (!reader.Object(document, "", {"version", "verdict", "load", "admission", "return", "refusals"}))
+    reader.ThrowIfInvalid();
+  if (!document.contains("version")) reader.AddError("version", "is missing, write 1");
+  reader.ReadNumber(&document, "", "version", 1, 1, 1, &plan.version);
+  ReadDetection(document, &reader, &plan.health_monitor);
+  ReadLoad(document, deployment, &reader, &plan);
+  ReadAdmission(document, deployment, &reader, &plan);
+  ReadRecovery(document, &reader, &plan);
+  ReadRetryAfter(document, deployment, &reader, &plan);
+  reader.ThrowIfInvalid();
   return plan;
 }
 
--- a/src/zone_failover/recovery_ramp.h
+++ b/src/zone_failover/recovery_ramp.h
@@ -1,10 +1,12 @@
-// The pace of a site's return: how many starts may go there, by steps, from what was seen to start. Values
-// in, values out.
+// Recovery ramp of a zone that returns after a loss: limits how many tasks may be placed there.
 //
-// Nodes of a returning site may be cold, and all who wait would go there at once: it looks empty. So its
-// share of starts begins small and is multiplied each step in which nearly all that was sent there did start;
-// a step in which much failed goes back by one. Every cluster manager has its own budget, a fixed part of the
-// whole by the known count, so nobody has to talk for the sum to hold.
+// Purpose: the nodes of a returning zone may be cold, and since the zone appears empty all waiting requests
+// would be placed there at once. The rate of placements therefore starts low. It is multiplied after each
+// step in which nearly all attempts in the zone succeeded, and lowered by one step after any other step.
+// Every cluster manager uses a fixed part of the total rate, according to the configured number of cluster
+// managers, so that the total holds without communication.
+//
+// Owned by ZoneFailover, one per zone, and used on its thread. No clock or I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,40 +14,45 @@
 namespace cluster_manager::zone_failover {
 
 struct RecoveryRampParameters {
-  double first = 0.5;  // starts a second for each of its nodes, all cluster managers together
-  double factor = 2;   // from step to step
-  std::int64_t step = 1'000'000'000;
-  double complete = 8;  // starts a second for each node: from there on it is as any other
-  double good = 0.8;    // of the starts of a step that are over
-  std::int64_t gives_up_after = 20'000'000'000;  // without anything to start, it is complete by then
+  double initial_rate = 0.5;  // placements per second and node of the zone, all cluster managers together
+  double rate_factor = 2;     // from step to step
+  std::int64_t step_duration = 1'000'000'000;  // nanoseconds
+  double complete_rate = 8;        // placements per second and node at which the recovery is complete
+  double min_success_share = 0.8;  // of the attempts that ended in a step, for the next step
+  // Nanoseconds since the start after which a step without any ended attempt completes the recovery.
+  std::int64_t idle_completion_time = 20'000'000'000;
 };
 
 class RecoveryRamp {
  public:
-  using Time = std::int64_t;
-  RecoveryRamp(RecoveryRampParameters terms, int managers)
-      : terms_(terms), managers_(managers > 0 ? managers : 1) {}
-
-  void SetTerms(const RecoveryRampParameters& terms) { terms_ = terms; }
-  void Begin(int nodes, Time now);
-  void Started(bool good) { ++(good ? good_ : bad_); }  // an attempt there came to its result
-  void Sent() { ++sent_; }
-  // Moves on; returns how many starts may still be sent now, from this cluster manager.
-  int Allowed(Time now);
-  bool complete() const { return complete_; }
+  using Time = std::int64_t;  // nanoseconds
+  RecoveryRamp(RecoveryRampParameters parameters, int manager_count)
+      : parameters_(parameters), manager_count_(manager_count > 0 ? manager_count : 1) {}
+
+  void SetParameters(const RecoveryRampParameters& parameters) { parameters_ = parameters; }
+  // Starts the recovery of a zone with this number of nodes.
+  void Start(int node_count, Time now);
+  // Counts an attempt in the zone that ended. `succeeded`: the node accepted or rejected the request.
+  void RecordResult(bool succeeded) { ++(succeeded ? succeeded_ : failed_); }
+  // Counts a placement in the zone.
+  void RecordPlacement() { ++placements_; }
+  // Updates the ramp. Returns how many placements are allowed now, from this cluster manager.
+  int AllowedPlacements(Time now);
+  bool is_complete() const { return is_complete_; }
   int step() const { return step_; }
-  // When it is complete if every step is good, at the earliest.
-  Time CompleteAt(Time now) const;
+  // The earliest time of completion, reached if every step succeeds.
+  Time EarliestCompletion(Time now) const;
 
  private:
-  double Rate() const;  // of this cluster manager, a second
+  double Rate() const;  // placements per second of this cluster manager
 
-  RecoveryRampParameters terms_;
-  int managers_, nodes_ = 0, step_ = 0;
-  Time begun_ = 0, step_at_ = 0, at_ = 0;
+  RecoveryRampParameters parameters_;
+  int manager_count_, node_count_ = 0, step_ = 0;
+  Time started_at_ = 0, step_started_at_ = 0, refilled_at_ = 0;
   double tokens_ = 0;
-  int good_ = 0, bad_ = 0, sent_ = 0, sent_before_ = 0;
-  bool complete_ = true;
+  // Attempts that ended in the current step; placements, in total and at the latest refill of the tokens.
+  int succeeded_ = 0, failed_ = 0, placements_ = 0, placements_at_refill_ = 0;
+  bool is_complete_ = true;
 };
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -7,9 +7,9 @@
 namespace cluster_manager::zone_failover {
 namespace {
 
-constexpr std::uint64_t kAwayDraw = 0xA3A7;
+constexpr std::uint64_t kRetryAfterDrawStream = 0xA3A7;
 
-std::string Text(const char* format, double a, double b = 0, double c = 0) {
+std::string Format(const char* format, double a, double b = 0, double c = 0) {
   char text[160];
   std::snprintf(text, sizeof text, format, a, b, c);
   return text;
@@ -20,191 +20,207 @@
 ZoneFailover::ZoneFailover(Plan plan, const Deployment& deployment)
     : plan_(std::move(plan)),
       deployment_(deployment),
-      watch_(static_cast<int>(deployment.sites.size()), plan_.watch),
-      admission_(plan_.admission, std::max(1, plan_.ranks())) {
-  sites_.assign(deployment.sites.size(),
-                Site{RecoveryRamp(plan_.comeback, deployment.managers), 0, 0, State::kUp, 0});
+      health_monitor_(static_cast<int>(deployment.zones.size()), plan_.health_monitor),
+      admission_control_(plan_.admission, std::max(1, plan_.rank_count())) {
+  zones_.assign(
+      deployment.zones.size(),
+      ZoneRecord{RecoveryRamp(plan_.recovery_ramp, deployment.manager_count), 0, 0, ZoneState::kUp, 0});
 }
 
-void ZoneFailover::Take(Plan plan) {
+void ZoneFailover::ApplyPlan(Plan plan) {
   plan_ = std::move(plan);
-  watch_.SetTerms(plan_.watch);
-  admission_ = AdmissionControl(plan_.admission, std::max(1, plan_.ranks()));
-  for (Site& site : sites_) site.comeback.SetTerms(plan_.comeback);
-  told_level_ = -1;
+  health_monitor_.SetParameters(plan_.health_monitor);
+  admission_control_ = AdmissionControl(plan_.admission, std::max(1, plan_.rank_count()));
+  for (ZoneRecord& zone : zones_) zone.recovery_ramp.SetParameters(plan_.recovery_ramp);
+  logged_level_ = -1;
 }
 
-void ZoneFailover::Listed(NodeId node, int site, bool in_service, const Size& size, Time now) {
-  if (!in_service || !Known(site)) {
+void ZoneFailover::RecordListing(NodeId node, int zone, bool in_service, const NodeCapacity& capacity,
+                                 Time now) {
+  if (!in_service || !IsKnownZone(zone)) {
     nodes_.erase(node);
     if (nodes_.empty()) Tighten(&nodes_);
-    watch_.Listed(node, -1, now);
+    health_monitor_.RecordListing(node, -1, now);
     return;
   }
-  nodes_[node] = {site, size};
-  watch_.Listed(node, site, now);
+  nodes_[node] = {zone, capacity};
+  health_monitor_.RecordListing(node, zone, now);
 }
 
-void ZoneFailover::AttemptOver(NodeId node, bool started) {
+void ZoneFailover::RecordAttemptEnd(NodeId node, bool succeeded) {
   const auto it = nodes_.find(node);
-  if (it != nodes_.end()) sites_[static_cast<std::size_t>(it->second.site)].comeback.Started(started);
+  if (it != nodes_.end())
+    zones_[static_cast<std::size_t>(it->second.zone)].recovery_ramp.RecordResult(succeeded);
 }
 
-void ZoneFailover::TaskOver(double cores, double memory, Time now) {
-  admission_.Ended({cores, memory}, now);
-  bound_.cores.Note(now, -cores);  // the list shows that as late as it shows a bind
-  bound_.memory.Note(now, -memory);
+void ZoneFailover::RecordTaskEnd(double cores, double memory, Time now) {
+  admission_control_.RecordTaskEnd({cores, memory}, now);
+  unlisted_usage_.cores.Note(now, -cores);  // the endpoint list shows this with the same delay
+  unlisted_usage_.memory.Note(now, -memory);
 }
 
-// What this cluster manager may still bind: of all that the usable sites can take less the reserve and what
-// was bound since the list was made, the part that is left to each where all do the same.
-Amount ZoneFailover::Free(Time now) const {
-  Amount free, all;
+Resources ZoneFailover::FreeCapacity(Time now) const {
+  Resources free, total;
   for (const auto& [id, node] : nodes_) {
-    const State state = watch_.site(node.site).state;
-    if (state == State::kLost || state == State::kSuspect) continue;
-    const Size& s = node.size;
-    all.cores += plan_.fill_cores * s.cores;
-    all.memory += plan_.fill_memory * s.memory;
-    // A returning site's room is not counted on: it may not be used beyond its pace.
-    if (state == State::kReturning) continue;
-    free.cores += std::max(0.0, (plan_.fill_cores - 1) * s.cores + s.free_cores);
-    free.memory += std::max(0.0, (plan_.fill_memory - 1) * s.memory + s.free_memory);
+    const ZoneState state = health_monitor_.zone(node.zone).state;
+    if (state == ZoneState::kLost || state == ZoneState::kSuspect) continue;
+    const NodeCapacity& capacity = node.capacity;
+    total.cores += plan_.cores_overcommit * capacity.cores;
+    total.memory += plan_.memory_overcommit * capacity.memory;
+    // The capacity of a returning zone does not count: its use is limited by the recovery ramp.
+    if (state == ZoneState::kReturning) continue;
+    free.cores += std::max(0.0, (plan_.cores_overcommit - 1) * capacity.cores + capacity.free_cores);
+    free.memory += std::max(0.0, (plan_.memory_overcommit - 1) * capacity.memory + capacity.free_memory);
   }
-  const double managers = std::max(1, deployment_.managers), seconds = kViewAge / 1e9;
-  const auto part = [&](double room, double whole, const DecayingRate& bound) {
-    return (room - plan_.reserve * whole) / managers - bound.PerSecond(now) * seconds;
+  const double managers = std::max(1, deployment_.manager_count), seconds = kListDelay / 1e9;
+  const auto share_of = [&](double free_amount, double total_amount, const DecayingRate& unlisted) {
+    return (free_amount - plan_.capacity_reserve * total_amount) / managers -
+           unlisted.PerSecond(now) * seconds;
   };
-  return {part(free.cores, all.cores, bound_.cores), part(free.memory, all.memory, bound_.memory)};
-}
-
-ZoneFailover::Orders ZoneFailover::Evaluate(int waiting, Time now) {
-  Orders orders;
-  orders.ask = watch_.Evaluate(now);
-  bool unusual = watch_.cut_off();
-  for (int i = 0; i < watch_.size(); ++i) {
-    Site& site = sites_[static_cast<std::size_t>(i)];
-    const ZoneHealthMonitor::Site& seen = watch_.site(i);
-    if (seen.state != site.state) {
-      const State before = std::exchange(site.state, seen.state);
-      if (seen.state == State::kReturning) site.comeback.Begin(seen.listed, now);
-      // Suspicions come and go; what follows from them is logged where it follows.
-      if (seen.state != State::kSuspect && !(before == State::kSuspect && seen.state == State::kUp)) {
-        orders.log.push_back("site " + deployment_.sites[static_cast<std::size_t>(i)] + " is " +
-                             Name(seen.state) + " (was " + Name(before) + "): " + watch_.Cause(i));
-        orders.changed = true;
+  return {share_of(free.cores, total.cores, unlisted_usage_.cores),
+          share_of(free.memory, total.memory, unlisted_usage_.memory)};
+}
+
+ZoneFailover::Evaluation ZoneFailover::Evaluate(int waiting, Time now) {
+  Evaluation evaluation;
+  evaluation.nodes_to_check = health_monitor_.Evaluate(now);
+  bool active = health_monitor_.is_isolated();
+  for (int i = 0; i < health_monitor_.zone_count(); ++i) {
+    ZoneRecord& record = zones_[static_cast<std::size_t>(i)];
+    const ZoneHealthMonitor::Zone& observed = health_monitor_.zone(i);
+    if (observed.state != record.state) {
+      const ZoneState before = std::exchange(record.state, observed.state);
+      if (observed.state == ZoneState::kReturning) record.recovery_ramp.Start(observed.listed_nodes, now);
+      // Suspicions are frequent and not logged, nor is their end.
+      if (observed.state != ZoneState::kSuspect &&
+          !(before == ZoneState::kSuspect && observed.state == ZoneState::kUp)) {
+        evaluation.log_lines.push_back("zone " + deployment_.zones[static_cast<std::size_t>(i)] + " is " +
+                                       ZoneStateName(observed.state) + " (was " + ZoneStateName(before) +
+                                       "): " + health_monitor_.DescribeState(i));
+        evaluation.policy_changed = true;
       }
     }
-    if (seen.state == State::kReturning) {
-      site.allowed = site.comeback.Allowed(now);
-      if (site.comeback.complete()) watch_.Recovered(i, now);
+    if (observed.state == ZoneState::kReturning) {
+      record.allowed_placements = record.recovery_ramp.AllowedPlacements(now);
+      if (record.recovery_ramp.is_complete()) health_monitor_.MarkRecovered(i, now);
     }
-    unusual |= seen.state == State::kLost || seen.state == State::kReturning;
+    active |= observed.state == ZoneState::kLost || observed.state == ZoneState::kReturning;
   }
-  if (watch_.cut_off() != was_cut_off_) {
-    was_cut_off_ = watch_.cut_off();
-    orders.changed = true;
-    orders.log.push_back(was_cut_off_ ? "no site answers: this process is cut off, new work is refused"
-                                      : "sites answer again: this process is no longer cut off");
+  if (health_monitor_.is_isolated() != was_isolated_) {
+    was_isolated_ = health_monitor_.is_isolated();
+    evaluation.policy_changed = true;
+    evaluation.log_lines.push_back(
+        was_isolated_ ? "no zone replies: this process is isolated, new requests are rejected"
+                      : "zones reply again: this process is no longer isolated");
   }
-  if (unusual) {
-    const int level = admission_.level();
-    admission_.Evaluate(watch_.cut_off() ? Amount{} : Free(now), waiting, now);
-    orders.changed |= admission_.level() < level;
-  } else if (in_force_) {
-    admission_.Open();
-    orders.changed = true;
+  if (active) {
+    const int level = admission_control_.level();
+    admission_control_.Evaluate(health_monitor_.is_isolated() ? Resources{} : FreeCapacity(now), waiting,
+                                now);
+    evaluation.policy_changed |= admission_control_.level() < level;
+  } else if (is_active_) {
+    admission_control_.AdmitAll();
+    evaluation.policy_changed = true;
   }
-  in_force_ = unusual;
-  if (admission_.level() != told_level_) {
-    if (told_level_ >= 0) {
-      orders.log.push_back("admission: " + std::to_string(admission_.level()) + " of " +
-                           std::to_string(admission_.ranks()) + " ranks taken whole" +
-                           Text(", %.0f%% of the next; %.0f%% of what is asked for has room",
-                                100 * admission_.share(), 100 * admission_.Fits()));
+  is_active_ = active;
+  if (admission_control_.level() != logged_level_) {
+    if (logged_level_ >= 0) {
+      evaluation.log_lines.push_back(
+          "admission: " + std::to_string(admission_control_.level()) + " of " +
+          std::to_string(admission_control_.rank_count()) + " ranks admitted completely" +
+          Format(", %.0f%% of the next; capacity covers %.0f%% of the demand",
+                 100 * admission_control_.share(), 100 * admission_control_.demand_coverage()));
     }
-    told_level_ = admission_.level();
+    logged_level_ = admission_control_.level();
   }
-  return orders;
+  return evaluation;
 }
 
-std::vector<std::string> ZoneFailover::Describe(Time now) const {
+std::vector<std::string> ZoneFailover::StatusLines(Time now) const {
   std::vector<std::string> lines;
-  for (int i = 0; i < watch_.size(); ++i) {
-    const ZoneHealthMonitor::Site& seen = watch_.site(i);
-    std::string line = "site " + deployment_.sites[static_cast<std::size_t>(i)] + " " + Name(seen.state);
-    if (seen.since > 0) line += Text(" since %.1f s", static_cast<double>(now - seen.since) / 1e9);
-    line += ": " + watch_.Cause(i);
-    if (seen.state == State::kReturning) {
-      const RecoveryRamp& comeback = sites_[static_cast<std::size_t>(i)].comeback;
-      line += Text("; step %.0f, complete in %.1f s if all goes well", comeback.step(),
-                   static_cast<double>(comeback.CompleteAt(now) - now) / 1e9);
+  for (int i = 0; i < health_monitor_.zone_count(); ++i) {
+    const ZoneHealthMonitor::Zone& observed = health_monitor_.zone(i);
+    std::string line =
+        "site " + deployment_.zones[static_cast<std::size_t>(i)] + " " + ZoneStateName(observed.state);
+    if (observed.state_since > 0)
+      line += Format(" since %.1f s", static_cast<double>(now - observed.state_since) / 1e9);
+    line += ": " + health_monitor_.DescribeState(i);
+    if (observed.state == ZoneState::kReturning) {
+      const RecoveryRamp& ramp = zones_[static_cast<std::size_t>(i)].recovery_ramp;
+      line += Format("; recovery step %.0f, complete in %.1f s at the earliest", ramp.step(),
+                     static_cast<double>(ramp.EarliestCompletion(now) - now) / 1e9);
     }
     lines.push_back(line);
   }
-  lines.push_back("admission level " + std::to_string(admission_.level()) + " of " +
-                  std::to_string(admission_.ranks()) + (in_force_ ? ", followed" : ", open"));
+  lines.push_back("admission level " + std::to_string(admission_control_.level()) + " of " +
+                  std::to_string(admission_control_.rank_count()) +
+                  (is_active_ ? ", enforced" : ", not enforced"));
   return lines;
 }
 
-// --- What the module asks ----------------------------------------------------------------------------------
-bool ZoneFailover::IsLost(int site) const { return Known(site) && watch_.site(site).state == State::kLost; }
-
-bool ZoneFailover::AllowsPlacement(int site, bool unsafe) const {
-  if (!Known(site)) return true;
-  const Site& its = sites_[static_cast<std::size_t>(site)];
-  const ZoneHealthMonitor::Site& seen = watch_.site(site);
-  switch (seen.state) {
-    case State::kUp:
-      return seen.answered_at > 0 || its.sent_unknown < kToUnknown;
-    case State::kSuspect:
-      // What may not be sent twice is not sent into silence, and nothing more to where nothing ever answered.
-      return !unsafe && (seen.answered_at > 0 || its.sent_unknown < kToUnknown);
-    case State::kLost:
+// --- scheduling::ZonePolicy --------------------------------------------------------------------------------
+bool ZoneFailover::IsLost(int zone) const {
+  return IsKnownZone(zone) && health_monitor_.zone(zone).state == ZoneState::kLost;
+}
+
+bool ZoneFailover::AllowsPlacement(int zone, bool unsafe) const {
+  if (!IsKnownZone(zone)) return true;
+  const ZoneRecord& record = zones_[static_cast<std::size_t>(zone)];
+  const ZoneHealthMonitor::Zone& observed = health_monitor_.zone(zone);
+  switch (observed.state) {
+    case ZoneState::kUp:
+      return observed.last_reply > 0 || record.unconfirmed_placements < kMaxUnconfirmedPlacements;
+    case ZoneState::kSuspect:
+      // No unsafe request is sent to a silent zone, and no further request to one that has never replied.
+      return !unsafe &&
+             (observed.last_reply > 0 || record.unconfirmed_placements < kMaxUnconfirmedPlacements);
+    case ZoneState::kLost:
       return false;
-    case State::kReturning:
-      return its.allowed > 0;
+    case ZoneState::kReturning:
+      return record.allowed_placements > 0;
   }
   return true;
 }
 
-void ZoneFailover::RecordPlacement(int site, const scheduling::Task& task, Time now) {
-  bound_.cores.Note(now, task.cores);
-  bound_.memory.Note(now, task.memory);
-  if (!Known(site)) return;
-  Site& its = sites_[static_cast<std::size_t>(site)];
-  if (watch_.site(site).answered_at == 0) ++its.sent_unknown;
-  if (its.state != State::kReturning) return;
-  its.comeback.Sent();
-  --its.allowed;
+void ZoneFailover::RecordPlacement(int zone, const scheduling::Task& task, Time now) {
+  unlisted_usage_.cores.Note(now, task.cores);
+  unlisted_usage_.memory.Note(now, task.memory);
+  if (!IsKnownZone(zone)) return;
+  ZoneRecord& record = zones_[static_cast<std::size_t>(zone)];
+  if (health_monitor_.zone(zone).last_reply == 0) ++record.unconfirmed_placements;
+  if (record.state != ZoneState::kReturning) return;
+  record.recovery_ramp.RecordPlacement();
+  --record.allowed_placements;
 }
 
 int ZoneFailover::AssignRank(const scheduling::Task& task, bool over_share, bool large, Time now) {
-  const int rank = plan_.Rank(task.class_index, over_share, task.is_retry || task.resubmitted, large);
-  admission_.Arrived(rank, {task.cores, task.memory}, now);
+  const int rank = plan_.RankOf(task.class_index, over_share, task.is_retry || task.resubmitted, large);
+  admission_control_.RecordArrival(rank, {task.cores, task.memory}, now);
   return rank;
 }
 
 bool ZoneFailover::Admits(int rank, const scheduling::Task& task) const {
-  if (!in_force_) return true;
-  if (watch_.cut_off()) return false;
-  return admission_.Admits(rank, task.name != 0 ? task.name : task.service);
+  if (!is_active_) return true;
+  if (health_monitor_.is_isolated()) return false;
+  return admission_control_.Admits(rank, task.name != 0 ? task.name : task.service);
 }
 
 bool ZoneFailover::RejectsBoundRequests(int class_index) const {
   const std::size_t i = static_cast<std::size_t>(class_index);
-  return i < plan_.tied.size() && plan_.tied[i] == Tied::kRefuse;
+  return i < plan_.bound_request_policies.size() &&
+         plan_.bound_request_policies[i] == BoundRequestPolicy::kReject;
 }
 
-// The further below the level, the longer; drawn by the task's name, so that the refused do not return at
-// once.
+// The delay grows with the distance of the rank from the level, and half of it is drawn from the task's
+// name, so that rejected requests do not return at the same time.
 Time ZoneFailover::RetryAfter(int rank, const scheduling::Task& task) const {
-  const int ranks = std::max(1, admission_.ranks());
-  const double below = static_cast<double>(std::max(0, rank - admission_.level())) / ranks;
-  const double draw = HashDraw(kAwayDraw, task.name != 0 ? task.name : task.service);
-  const double share = std::clamp(0.5 * below + 0.5 * draw, 0.0, 1.0);
-  return plan_.away_least +
-         static_cast<Time>(share * static_cast<double>(plan_.away_most - plan_.away_least));
+  const int ranks = std::max(1, admission_control_.rank_count());
+  const double relative_distance =
+      static_cast<double>(std::max(0, rank - admission_control_.level())) / ranks;
+  const double random_part = HashDraw(kRetryAfterDrawStream, task.name != 0 ? task.name : task.service);
+  const double share = std::clamp(0.5 * relative_distance + 0.5 * random_part, 0.0, 1.0);
+  return plan_.min_retry_after +
+         static_cast<Time>(share * static_cast<double>(plan_.max_retry_after - plan_.min_retry_after));
 }
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,7 +1,12 @@
-// The plan for lost sites in one cluster manager: the watch, the order of admission and the pace of returns
-// put together. The engine feeds what it hears and asks Evaluate() now and then; the decision module asks,
-// through scheduling::ZonePolicy, what may be used and what is taken. No I/O, no clock and no chance of its
-// own: two cluster managers that see the same do the same, without a word between them.
+// Zone failover: applies the operators' plan for the loss of zones in one cluster manager.
+//
+// Purpose: combines the zone health monitor, the admission control and the recovery ramps of returning zones.
+// The dispatcher reports requests, replies and endpoint list entries and calls Evaluate() periodically. The
+// scheduler consults the result through scheduling::ZonePolicy before each placement.
+// Owns: the plan, the monitor, the admission control, and a record per zone and per listed node.
+// Called by: the dispatcher and its scheduler on the event loop's thread. Owned by the server process.
+// Has no I/O, clock or randomness of its own: cluster managers that observe the same events decide the same
+// without communicating.
 #pragma once
 
 #include <string>
@@ -16,83 +21,94 @@
 
 namespace cluster_manager::zone_failover {
 
-struct Size {  // of a node, and what of it nobody has asked for by the list
+// The resources of a node, and those that are not requested by any task according to the endpoint list.
+struct NodeCapacity {
   double cores = 0, memory = 0, free_cores = 0, free_memory = 0;
 };
 
 class ZoneFailover final : public scheduling::ZonePolicy {
  public:
   ZoneFailover(Plan plan, const Deployment& deployment);
-  // A new plan takes hold at once; what is known of the sites stays.
-  void Take(Plan plan);
+  // Replaces the plan at once. The states of the zones are kept.
+  void ApplyPlan(Plan plan);
 
-  // --- What the engine hears ---
-  void Listed(NodeId node, int site, bool in_service, const Size& size, Time now);
-  void Asked(NodeId node, Time now) { watch_.Asked(node, now); }
-  void Answered(NodeId node, Time now) { watch_.Answered(node, now); }
-  void Spoke(NodeId node, Time now) { watch_.Spoke(node, now); }
-  void Unanswered(NodeId node, Time asked) { watch_.Unanswered(node, asked); }
-  void AttemptOver(NodeId node, bool started);           // for the pace of a return
-  void TaskOver(double cores, double memory, Time now);  // one that stood
+  // --- Reports of the dispatcher; see ZoneHealthMonitor ---
+  void RecordListing(NodeId node, int zone, bool in_service, const NodeCapacity& capacity, Time now);
+  void RecordRequest(NodeId node, Time now) { health_monitor_.RecordRequest(node, now); }
+  void RecordReply(NodeId node, Time now) { health_monitor_.RecordReply(node, now); }
+  void RecordReport(NodeId node, Time now) { health_monitor_.RecordReport(node, now); }
+  void RecordUnanswered(NodeId node, Time sent_at) { health_monitor_.RecordUnanswered(node, sent_at); }
+  // An attempt at the node ended. `succeeded`: the node accepted or rejected it.
+  void RecordAttemptEnd(NodeId node, bool succeeded);
+  // A running task with these resources ended.
+  void RecordTaskEnd(double cores, double memory, Time now);
 
-  static constexpr Time kEvaluateEvery = 50'000'000;
-  struct Orders {
-    std::vector<NodeId> ask;  // a test each
-    std::vector<std::string> log;
-    bool changed = false;  // the module is to look again at what waits, and at what is out
+  static constexpr Time kEvaluationInterval = 50'000'000;
+  // What the dispatcher has to do after an evaluation.
+  struct Evaluation {
+    std::vector<NodeId> nodes_to_check;  // each by one reachability check
+    std::vector<std::string> log_lines;
+    bool policy_changed = false;  // the scheduler has to reconsider waiting requests and open attempts
   };
-  // `waiting`: tasks without an attempt out for longer than kWaits.
-  static constexpr Time kWaits = 300'000'000;
-  Orders Evaluate(int waiting, Time now);
-  // ZoneFailover are not as usual: levels and paces are followed.
-  bool in_force() const { return in_force_; }
-  std::vector<std::string> Describe(Time now) const;  // a line a site, and one for the level
+  // Requests that have been waiting without an open attempt for longer count as `waiting`.
+  static constexpr Time kWaitingThreshold = 300'000'000;
+  // Updates the zones, the recovery ramps and the admission level; to be called every kEvaluationInterval.
+  Evaluation Evaluate(int waiting, Time now);
+  // A zone is lost or returning, or this process is isolated: the admission level is enforced.
+  bool is_active() const { return is_active_; }
+  // One line per zone and one for the admission level, for the operators.
+  std::vector<std::string> StatusLines(Time now) const;
 
-  // --- What the module asks ---
-  bool IsLost(int site) const override;
-  bool AllowsPlacement(int site, bool unsafe) const override;
-  void RecordPlacement(int site, const scheduling::Task& task, Time now) override;
+  // --- scheduling::ZonePolicy ---
+  bool IsLost(int zone) const override;
+  bool AllowsPlacement(int zone, bool unsafe) const override;
+  void RecordPlacement(int zone, const scheduling::Task& task, Time now) override;
   int AssignRank(const scheduling::Task& task, bool over_share, bool large, Time now) override;
   bool Admits(int rank, const scheduling::Task& task) const override;
   bool RejectsBoundRequests(int class_index) const override;
   Time RetryAfter(int rank, const scheduling::Task& task) const override;
 
-  const ZoneHealthMonitor& watch() const { return watch_; }
-  const AdmissionControl& admission() const { return admission_; }
-  const RecoveryRamp& comeback(int site) const { return sites_[static_cast<std::size_t>(site)].comeback; }
+  const ZoneHealthMonitor& health_monitor() const { return health_monitor_; }
+  const AdmissionControl& admission_control() const { return admission_control_; }
+  const RecoveryRamp& recovery_ramp(int zone) const {
+    return zones_[static_cast<std::size_t>(zone)].recovery_ramp;
+  }
   const Plan& plan() const { return plan_; }
 
  private:
-  struct Site {
-    RecoveryRamp comeback;
-    int allowed = 0, nodes = 0;
-    State state = State::kUp;  // as last told
-    int sent_unknown = 0;      // before anything was heard of it
+  struct ZoneRecord {
+    RecoveryRamp recovery_ramp;
+    int allowed_placements = 0, node_count = 0;
+    ZoneState state = ZoneState::kUp;  // at the latest evaluation
+    int unconfirmed_placements = 0;    // before the first reply of the zone
   };
-  struct Node {
-    int site = -1;
-    Size size;
+  struct NodeRecord {
+    int zone = -1;
+    NodeCapacity capacity;
   };
-  struct Flow {
-    DecayingRate cores{0, kViewAge}, memory{0, kViewAge};
+  struct ResourceRate {
+    DecayingRate cores{0, kListDelay}, memory{0, kListDelay};
   };
-  static constexpr double kViewAge = 1.5e9;
-  // Sent to a site of which nothing has been heard yet: one just started must not herd on a site that is
-  // lost.
-  static constexpr int kToUnknown = 8;
+  // How long the endpoint list takes to show a placement or an end of a task, in nanoseconds.
+  static constexpr double kListDelay = 1.5e9;
+  // Placements in a zone before its first reply: limits those of a process that has just started to a zone
+  // that may be lost.
+  static constexpr int kMaxUnconfirmedPlacements = 8;
 
-  Amount Free(Time now) const;
-  bool Known(int site) const { return site >= 0 && site < watch_.size(); }
+  // This cluster manager's share of the free capacity in the usable zones, less the reserve and its own
+  // placements that the endpoint list does not show yet. All cluster managers use the same shares.
+  Resources FreeCapacity(Time now) const;
+  bool IsKnownZone(int zone) const { return zone >= 0 && zone < health_monitor_.zone_count(); }
 
   Plan plan_;
   Deployment deployment_;
-  ZoneHealthMonitor watch_;
-  AdmissionControl admission_;
-  std::vector<Site> sites_;
-  NumberMap<NodeId, Node> nodes_;
-  Flow bound_;  // own binds less own ends, as far as the list does not show them yet
-  bool in_force_ = false, was_cut_off_ = false;
-  int told_level_ = -1;
+  ZoneHealthMonitor health_monitor_;
+  AdmissionControl admission_control_;
+  std::vector<ZoneRecord> zones_;
+  NumberMap<NodeId, NodeRecord> nodes_;
+  ResourceRate unlisted_usage_;  // own placements less own task ends that the endpoint list does not show yet
+  bool is_active_ = false, was_isolated_ = false;
+  int logged_level_ = -1;
 };
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/zone_health_monitor.cpp
+++ b/src/zone_failover/zone_health_monitor.cpp
@@ -6,272 +6,290 @@
 
 namespace cluster_manager::zone_failover {
 
-const char* Name(State state) {
+const char* ZoneStateName(ZoneState state) {
   switch (state) {
-    case State::kUp:
+    case ZoneState::kUp:
       return "up";
-    case State::kSuspect:
+    case ZoneState::kSuspect:
       return "suspect";
-    case State::kLost:
+    case ZoneState::kLost:
       return "lost";
-    case State::kReturning:
+    case ZoneState::kReturning:
       return "returning";
   }
   return "?";
 }
 
-void ZoneHealthMonitor::Listed(NodeId node, int site, Time) {
-  const bool known = site >= 0 && site < size();
+void ZoneHealthMonitor::RecordListing(NodeId node, int zone, Time) {
+  const bool known = zone >= 0 && zone < zone_count();
   if (!known) {
     nodes_.erase(node);
     if (nodes_.empty()) Tighten(&nodes_);
     return;
   }
-  nodes_[node].site = site;
+  nodes_[node].zone = zone;
 }
 
-void ZoneHealthMonitor::Asked(NodeId node, Time now) {
+void ZoneHealthMonitor::RecordRequest(NodeId node, Time now) {
   const auto it = nodes_.find(node);
   if (it == nodes_.end()) return;
-  Node& n = it.value();
-  if (n.asked_at == 0) n.asked_at = now;
-  sites_[static_cast<std::size_t>(n.site)].asked_at = now;
+  Node& record = it.value();
+  if (record.pending_since == 0) record.pending_since = now;
+  zones_[static_cast<std::size_t>(record.zone)].last_request = now;
 }
 
-void ZoneHealthMonitor::Answered(NodeId node, Time now) {
+void ZoneHealthMonitor::RecordReply(NodeId node, Time now) {
   const auto it = nodes_.find(node);
   if (it == nodes_.end()) return;
-  Node& n = it.value();
-  n.answered_at = now;
-  n.asked_at = n.silent_since = 0;
-  sites_[static_cast<std::size_t>(n.site)].answered_at = now;
+  Node& record = it.value();
+  record.last_reply = now;
+  record.pending_since = record.silent_since = 0;
+  zones_[static_cast<std::size_t>(record.zone)].last_reply = now;
 }
 
-void ZoneHealthMonitor::Spoke(NodeId node, Time now) {
+void ZoneHealthMonitor::RecordReport(NodeId node, Time now) {
   const auto it = nodes_.find(node);
   if (it == nodes_.end()) return;
-  it.value().spoke_at = now;
-  sites_[static_cast<std::size_t>(it->second.site)].spoke_at = now;
+  it.value().last_report = now;
+  zones_[static_cast<std::size_t>(it->second.zone)].last_report = now;
 }
 
-void ZoneHealthMonitor::Unanswered(NodeId node, Time asked) {
+void ZoneHealthMonitor::RecordUnanswered(NodeId node, Time sent_at) {
   const auto it = nodes_.find(node);
-  if (it == nodes_.end() || asked < it->second.answered_at) return;
-  Node& n = it.value();
-  if (n.silent_since == 0) n.silent_since = asked;
-  n.failed_asked = std::max(n.failed_asked, asked);
+  if (it == nodes_.end() || sent_at < it->second.last_reply) return;
+  Node& record = it.value();
+  if (record.silent_since == 0) record.silent_since = sent_at;
+  record.last_unanswered_sent = std::max(record.last_unanswered_sent, sent_at);
 }
 
-void ZoneHealthMonitor::Count(Time now) {
-  for (Site& site : sites_)
-    site.listed = site.silent_now = site.silent = site.answering = site.outstanding = 0;
-  for (const auto& [id, n] : nodes_) {
-    Site& site = sites_[static_cast<std::size_t>(n.site)];
-    ++site.listed;
-    const Time window = now - terms_.window;
-    const Time from = site.state == State::kUp     ? window
-                      : site.state == State::kLost ? std::max(site.since, window)
-                                                   : site.since;
-    if (n.silent_since > 0) {
-      site.silent += n.failed_asked >= from;
-      site.silent_now += n.failed_asked >= site.answered_at;
-    } else if (n.answered_at > from) {
-      ++site.answering;
+void ZoneHealthMonitor::CountNodes(Time now) {
+  for (Zone& zone : zones_)
+    zone.listed_nodes = zone.silent_since_reply = zone.silent_nodes = zone.replying_nodes =
+        zone.pending_nodes = 0;
+  for (const auto& [id, node] : nodes_) {
+    Zone& zone = zones_[static_cast<std::size_t>(node.zone)];
+    ++zone.listed_nodes;
+    const Time window = now - parameters_.evidence_window;
+    const Time evidence_start = zone.state == ZoneState::kUp     ? window
+                                : zone.state == ZoneState::kLost ? std::max(zone.state_since, window)
+                                                                 : zone.state_since;
+    if (node.silent_since > 0) {
+      zone.silent_nodes += node.last_unanswered_sent >= evidence_start;
+      zone.silent_since_reply += node.last_unanswered_sent >= zone.last_reply;
+    } else if (node.last_reply > evidence_start) {
+      ++zone.replying_nodes;
     }
-    if (n.asked_at > 0) ++site.outstanding;
+    if (node.pending_since > 0) ++zone.pending_nodes;
   }
 }
 
-void ZoneHealthMonitor::Enter(Site* site, State state, Time now) {
-  if (state == State::kLost) {
-    const bool relapse = site->state == State::kReturning ||
-                         (site->up_since > 0 && now - site->up_since < terms_.relapse_within);
-    site->hold = relapse ? std::min(terms_.hold_most, 2 * std::max(site->hold, terms_.hold)) : terms_.hold;
-    ++site->verdicts;
-    site->ask_due = now + terms_.ask_again;
+void ZoneHealthMonitor::EnterState(Zone* zone, ZoneState state, Time now) {
+  if (state == ZoneState::kLost) {
+    const bool relapse = zone->state == ZoneState::kReturning ||
+                         (zone->recovered_at > 0 && now - zone->recovered_at < parameters_.relapse_window);
+    zone->hold =
+        relapse ? std::min(parameters_.max_recovery_hold, 2 * std::max(zone->hold, parameters_.recovery_hold))
+                : parameters_.recovery_hold;
+    ++zone->loss_count;
+    zone->next_check = now + parameters_.check_interval;
   }
-  site->state = state;
-  site->since = now;
-  site->coming_since = 0;
+  zone->state = state;
+  zone->state_since = now;
+  zone->replying_since = 0;
 }
 
-void ZoneHealthMonitor::Recovered(int i, Time now) {
-  Site& site = sites_[static_cast<std::size_t>(i)];
-  if (site.state != State::kReturning) return;
-  Enter(&site, State::kUp, now);
-  site.up_since = now;
+void ZoneHealthMonitor::MarkRecovered(int index, Time now) {
+  Zone& zone = zones_[static_cast<std::size_t>(index)];
+  if (zone.state != ZoneState::kReturning) return;
+  EnterState(&zone, ZoneState::kUp, now);
+  zone.recovered_at = now;
 }
 
-// Which of a site's nodes are asked: other ones each time, in an order of their own; those that count as
-// silent first where the site may be back, the others where it may be lost.
-void ZoneHealthMonitor::Choose(int site, Time now, bool silent_first, std::vector<NodeId>* out) {
-  std::vector<std::pair<bool, std::pair<double, NodeId>>> all;
-  for (const auto& [id, n] : nodes_) {
-    if (n.site != site) continue;
-    all.push_back({(n.silent_since > 0) != silent_first, {HashDraw(turn_, id), id}});
+// Chooses nodes of the zone to be checked, different ones each time. `silent_first`: silent nodes are
+// preferred, which is used when the zone may be reachable again; otherwise the others, when it may be lost.
+void ZoneHealthMonitor::ChooseNodesToCheck(int zone, Time now, bool silent_first,
+                                           std::vector<NodeId>* nodes_to_check) {
+  std::vector<std::pair<bool, std::pair<double, NodeId>>> candidates;
+  for (const auto& [id, node] : nodes_) {
+    if (node.zone != zone) continue;
+    candidates.push_back({(node.silent_since > 0) != silent_first, {HashDraw(check_round_, id), id}});
   }
-  ++turn_;
-  const std::size_t count = std::min(all.size(), static_cast<std::size_t>(terms_.asked_at_once));
-  std::partial_sort(all.begin(), all.begin() + static_cast<std::ptrdiff_t>(count), all.end());
-  for (std::size_t i = 0; i < count; ++i) out->push_back(all[i].second.second);
-  sites_[static_cast<std::size_t>(site)].ask_due = now + terms_.ask_again;
+  ++check_round_;
+  const std::size_t count =
+      std::min(candidates.size(), static_cast<std::size_t>(parameters_.nodes_per_check));
+  std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count),
+                    candidates.end());
+  for (std::size_t i = 0; i < count; ++i) nodes_to_check->push_back(candidates[i].second.second);
+  zones_[static_cast<std::size_t>(zone)].next_check = now + parameters_.check_interval;
 }
 
-// Much is asked of the zone, and nothing comes.
-bool ZoneHealthMonitor::IsQuiet(const Site& site, Time now) const {
-  const int several = std::min(2, site.listed);
-  return site.outstanding >= several && several > 0 && now - site.answered_at >= terms_.quiet &&
-         site.asked_at > site.answered_at;
+// Requests are pending at several nodes, and no node of the zone has replied for silence_threshold.
+bool ZoneHealthMonitor::IsQuiet(const Zone& zone, Time now) const {
+  const int min_pending_nodes = std::min(2, zone.listed_nodes);
+  return zone.pending_nodes >= min_pending_nodes && min_pending_nodes > 0 &&
+         now - zone.last_reply >= parameters_.silence_threshold && zone.last_request > zone.last_reply;
 }
 
-bool ZoneHealthMonitor::IsAllSilent(const Site& site, Time now) const {
-  return now - site.answered_at >= terms_.quiet && site.silent_now >= std::min(terms_.least, site.listed);
+// No node of the zone has replied for silence_threshold, and enough nodes have not answered requests since.
+bool ZoneHealthMonitor::IsAllSilent(const Zone& zone, Time now) const {
+  return now - zone.last_reply >= parameters_.silence_threshold &&
+         zone.silent_since_reply >= std::min(parameters_.min_silent_nodes, zone.listed_nodes);
 }
 
-// Enough nodes are silent, and a large enough share of those with evidence.
-bool ZoneHealthMonitor::IsLargelySilent(const Site& site) const {
-  const bool enough = site.silent >= std::min(terms_.least, site.listed) && site.silent > 0;
-  return enough && SilentShare(site) >= terms_.suspect_share;
+// Enough nodes are silent, and they are a large enough share of the nodes with evidence.
+bool ZoneHealthMonitor::IsLargelySilent(const Zone& zone) const {
+  const bool enough_silent =
+      zone.silent_nodes >= std::min(parameters_.min_silent_nodes, zone.listed_nodes) && zone.silent_nodes > 0;
+  return enough_silent && SilentShare(zone) >= parameters_.suspect_share;
 }
 
-double ZoneHealthMonitor::SilentShare(const Site& site) {
-  const int evidence = site.silent + site.answering;
-  return evidence > 0 ? static_cast<double>(site.silent) / evidence : 0;
+double ZoneHealthMonitor::SilentShare(const Zone& zone) {
+  const int evidence = zone.silent_nodes + zone.replying_nodes;
+  return evidence > 0 ? static_cast<double>(zone.silent_nodes) / evidence : 0;
 }
 
-bool ZoneHealthMonitor::IsDeaf(const Site& site, Time now) const {
-  return site.spoke_at > site.answered_at && now - site.spoke_at < terms_.window;
+bool ZoneHealthMonitor::IsOneWayPartition(const Zone& zone, Time now) const {
+  return zone.last_report > zone.last_reply && now - zone.last_report < parameters_.evidence_window;
 }
 
-// Whether another zone has answered since this one fell silent. `heard` is when any zone answered last.
-bool ZoneHealthMonitor::IsInTouch(const Site& site, Time heard) const {
-  return heard >= std::max(site.since, site.answered_at + terms_.quiet);
+// Whether another zone has replied since this one fell silent. `last_reply`: the latest reply of any zone.
+bool ZoneHealthMonitor::HasOtherZoneReplied(const Zone& zone, Time last_reply) const {
+  return last_reply >= std::max(zone.state_since, zone.last_reply + parameters_.silence_threshold);
 }
 
-Time ZoneHealthMonitor::LastAnswer() const {
-  Time heard = 0;
-  for (const Site& site : sites_) heard = std::max(heard, site.answered_at);
-  return heard;
+Time ZoneHealthMonitor::LastReply() const {
+  Time last_reply = 0;
+  for (const Zone& zone : zones_) last_reply = std::max(last_reply, zone.last_reply);
+  return last_reply;
 }
 
-// Silence of all zones at once says more of this process than of any zone.
-void ZoneHealthMonitor::UpdateCutOff(Time now, std::vector<NodeId>* ask) {
-  int with_nodes = 0;
-  int silent = 0;
-  for (const Site& site : sites_) {
-    with_nodes += site.listed > 0;
-    silent += site.listed > 0 && IsAllSilent(site, now);
+// If all zones are silent at the same time, this process is isolated rather than the zones being lost.
+void ZoneHealthMonitor::UpdateIsolation(Time now, std::vector<NodeId>* nodes_to_check) {
+  int zones_with_nodes = 0;
+  int silent_zones = 0;
+  for (const Zone& zone : zones_) {
+    zones_with_nodes += zone.listed_nodes > 0;
+    silent_zones += zone.listed_nodes > 0 && IsAllSilent(zone, now);
   }
-  if (with_nodes > 0 && silent == with_nodes) {
-    if (cut_off_since_ == 0) cut_off_since_ = now;
+  if (zones_with_nodes > 0 && silent_zones == zones_with_nodes) {
+    if (isolated_since_ == 0) isolated_since_ = now;
     return;
   }
-  if (std::exchange(cut_off_since_, 0) == 0) return;
-  // The first zone to answer proves nothing against the others.
-  for (int i = 0; i < size(); ++i) {
-    Site& suspect = sites_[static_cast<std::size_t>(i)];
-    if (suspect.state != State::kSuspect) continue;
-    Enter(&suspect, State::kSuspect, now);
-    Choose(i, now, true, ask);
+  if (std::exchange(isolated_since_, 0) == 0) return;
+  // The first zone to reply is no evidence against the others: their suspicions start anew.
+  for (int i = 0; i < zone_count(); ++i) {
+    Zone& suspect = zones_[static_cast<std::size_t>(i)];
+    if (suspect.state != ZoneState::kSuspect) continue;
+    EnterState(&suspect, ZoneState::kSuspect, now);
+    ChooseNodesToCheck(i, now, true, nodes_to_check);
   }
 }
 
-void ZoneHealthMonitor::EvaluateUp(int index, Time now, std::vector<NodeId>* ask) {
-  Site& site = sites_[static_cast<std::size_t>(index)];
-  // A suspicion that has just been cleared is not raised again by what is left of it.
-  const bool settled = now - site.since >= terms_.window / 2;
-  if (!IsQuiet(site, now) && !(IsLargelySilent(site) && settled)) return;
-  site.silent_since = std::max(site.answered_at, site.up_since);
-  Enter(&site, State::kSuspect, now);
-  Choose(index, now, false, ask);
-  for (int other = 0; other < size(); ++other) {
-    const Site& reference = sites_[static_cast<std::size_t>(other)];
-    const bool stale = now - reference.answered_at > terms_.quiet / 2;
-    if (other != index && reference.listed > 0 && stale) Choose(other, now, false, ask);
+void ZoneHealthMonitor::EvaluateUp(int index, Time now, std::vector<NodeId>* nodes_to_check) {
+  Zone& zone = zones_[static_cast<std::size_t>(index)];
+  // A suspicion that has just been cleared is not raised again by the remaining older evidence.
+  const bool is_stable = now - zone.state_since >= parameters_.evidence_window / 2;
+  if (!IsQuiet(zone, now) && !(IsLargelySilent(zone) && is_stable)) return;
+  zone.silent_since = std::max(zone.last_reply, zone.recovered_at);
+  EnterState(&zone, ZoneState::kSuspect, now);
+  ChooseNodesToCheck(index, now, false, nodes_to_check);
+  for (int other = 0; other < zone_count(); ++other) {
+    const Zone& reference = zones_[static_cast<std::size_t>(other)];
+    const bool stale = now - reference.last_reply > parameters_.silence_threshold / 2;
+    if (other != index && reference.listed_nodes > 0 && stale)
+      ChooseNodesToCheck(other, now, false, nodes_to_check);
   }
 }
 
-void ZoneHealthMonitor::EvaluateSuspect(int index, Time now, Time heard, std::vector<NodeId>* ask) {
-  Site& site = sites_[static_cast<std::size_t>(index)];
-  if (IsAllSilent(site, now) && now - site.since >= terms_.lost_after) {
-    if (!IsInTouch(site, heard)) {
-      for (int other = 0; other < size() && now >= site.ask_due; ++other) Choose(other, now, false, ask);
+void ZoneHealthMonitor::EvaluateSuspect(int index, Time now, Time last_reply,
+                                        std::vector<NodeId>* nodes_to_check) {
+  Zone& zone = zones_[static_cast<std::size_t>(index)];
+  if (IsAllSilent(zone, now) && now - zone.state_since >= parameters_.confirmation_time) {
+    if (!HasOtherZoneReplied(zone, last_reply)) {
+      for (int other = 0; other < zone_count() && now >= zone.next_check; ++other)
+        ChooseNodesToCheck(other, now, false, nodes_to_check);
       return;
     }
-    site.deaf = IsDeaf(site, now);
-    Enter(&site, State::kLost, now);
-  } else if (!IsQuiet(site, now) && SilentShare(site) < terms_.suspect_share) {
-    Enter(&site, State::kUp, now);
-  } else if (now >= site.ask_due) {
-    Choose(index, now, false, ask);
+    zone.one_way_partition = IsOneWayPartition(zone, now);
+    EnterState(&zone, ZoneState::kLost, now);
+  } else if (!IsQuiet(zone, now) && SilentShare(zone) < parameters_.suspect_share) {
+    EnterState(&zone, ZoneState::kUp, now);
+  } else if (now >= zone.next_check) {
+    ChooseNodesToCheck(index, now, false, nodes_to_check);
   }
 }
 
-void ZoneHealthMonitor::EvaluateLost(int index, Time now, std::vector<NodeId>* ask) {
-  Site& site = sites_[static_cast<std::size_t>(index)];
-  site.deaf = IsDeaf(site, now);
-  const int wanted = std::max(1, static_cast<int>(std::ceil(terms_.come_back * site.listed)));
-  const bool too_few_answer = site.answering < std::min(wanted, terms_.asked_at_once);
-  if (too_few_answer || site.silent_now >= std::min(terms_.least, site.listed)) {
-    site.coming_since = 0;
-  } else if (site.coming_since == 0) {
-    site.coming_since = now;
+void ZoneHealthMonitor::EvaluateLost(int index, Time now, std::vector<NodeId>* nodes_to_check) {
+  Zone& zone = zones_[static_cast<std::size_t>(index)];
+  zone.one_way_partition = IsOneWayPartition(zone, now);
+  const int required =
+      std::max(1, static_cast<int>(std::ceil(parameters_.recovered_share * zone.listed_nodes)));
+  const bool too_few_replies = zone.replying_nodes < std::min(required, parameters_.nodes_per_check);
+  if (too_few_replies ||
+      zone.silent_since_reply >= std::min(parameters_.min_silent_nodes, zone.listed_nodes)) {
+    zone.replying_since = 0;
+  } else if (zone.replying_since == 0) {
+    zone.replying_since = now;
   }
-  if (site.coming_since > 0 && now - site.coming_since >= site.hold) {
-    Enter(&site, State::kReturning, now);
-  } else if (now >= site.ask_due || (site.coming_since == now && site.answering < site.listed)) {
-    Choose(index, now, true, ask);
+  if (zone.replying_since > 0 && now - zone.replying_since >= zone.hold) {
+    EnterState(&zone, ZoneState::kReturning, now);
+  } else if (now >= zone.next_check ||
+             (zone.replying_since == now && zone.replying_nodes < zone.listed_nodes)) {
+    ChooseNodesToCheck(index, now, true, nodes_to_check);
   }
 }
 
-void ZoneHealthMonitor::EvaluateReturning(int index, Time now, Time heard, std::vector<NodeId>* ask) {
-  Site& site = sites_[static_cast<std::size_t>(index)];
-  if (IsAllSilent(site, now) && IsInTouch(site, heard)) {
-    Enter(&site, State::kLost, now);
-  } else if (now >= site.ask_due && site.answering < site.listed) {
-    Choose(index, now, true, ask);
+void ZoneHealthMonitor::EvaluateReturning(int index, Time now, Time last_reply,
+                                          std::vector<NodeId>* nodes_to_check) {
+  Zone& zone = zones_[static_cast<std::size_t>(index)];
+  if (IsAllSilent(zone, now) && HasOtherZoneReplied(zone, last_reply)) {
+    EnterState(&zone, ZoneState::kLost, now);
+  } else if (now >= zone.next_check && zone.replying_nodes < zone.listed_nodes) {
+    ChooseNodesToCheck(index, now, true, nodes_to_check);
   }
 }
 
 std::vector<NodeId> ZoneHealthMonitor::Evaluate(Time now) {
-  Count(now);
-  std::vector<NodeId> ask;
-  const Time heard = LastAnswer();
-  UpdateCutOff(now, &ask);
-  for (int i = 0; i < size(); ++i) {
-    Site& site = sites_[static_cast<std::size_t>(i)];
-    if (site.listed ==
-        0) {  // nothing of it is in service: what the list says is enough, and it is no verdict
-      if (site.state != State::kUp) Enter(&site, State::kUp, now);
+  CountNodes(now);
+  std::vector<NodeId> nodes_to_check;
+  const Time last_reply = LastReply();
+  UpdateIsolation(now, &nodes_to_check);
+  for (int i = 0; i < zone_count(); ++i) {
+    Zone& zone = zones_[static_cast<std::size_t>(i)];
+    // No node of the zone is in service: the endpoint list is sufficient, and no loss is reported.
+    if (zone.listed_nodes == 0) {
+      if (zone.state != ZoneState::kUp) EnterState(&zone, ZoneState::kUp, now);
       continue;
     }
-    switch (site.state) {
-      case State::kUp:
-        EvaluateUp(i, now, &ask);
+    switch (zone.state) {
+      case ZoneState::kUp:
+        EvaluateUp(i, now, &nodes_to_check);
         break;
-      case State::kSuspect:
-        EvaluateSuspect(i, now, heard, &ask);
+      case ZoneState::kSuspect:
+        EvaluateSuspect(i, now, last_reply, &nodes_to_check);
         break;
-      case State::kLost:
-        EvaluateLost(i, now, &ask);
+      case ZoneState::kLost:
+        EvaluateLost(i, now, &nodes_to_check);
         break;
-      case State::kReturning:
-        EvaluateReturning(i, now, heard, &ask);
+      case ZoneState::kReturning:
+        EvaluateReturning(i, now, last_reply, &nodes_to_check);
         break;
     }
   }
-  return ask;
+  return nodes_to_check;
 }
 
-std::string ZoneHealthMonitor::Cause(int i) const {
-  const Site& s = site(i);
-  std::string text = std::to_string(s.silent) + " of " + std::to_string(s.listed) + " nodes silent, " +
-                     std::to_string(s.answering) + " answer";
-  if (s.state == State::kLost && s.deaf) text += "; it is heard and does not hear: a cut in one direction";
-  if (s.state == State::kLost && s.verdicts > 1)
-    text += "; hold " + std::to_string(s.hold / 1'000'000) + " ms after " + std::to_string(s.verdicts) +
-            " losses";
-  if (cut_off()) text += "; all sites are silent: this process is cut off";
+std::string ZoneHealthMonitor::DescribeState(int index) const {
+  const Zone& described = zone(index);
+  std::string text = std::to_string(described.silent_nodes) + " of " +
+                     std::to_string(described.listed_nodes) + " nodes silent, " +
+                     std::to_string(described.replying_nodes) + " replying";
+  if (described.state == ZoneState::kLost && described.one_way_partition)
+    text += "; messages arrive but requests go unanswered: one-way network partition";
+  if (described.state == ZoneState::kLost && described.loss_count > 1)
+    text += "; hold " + std::to_string(described.hold / 1'000'000) + " ms after " +
+            std::to_string(described.loss_count) + " losses";
+  if (is_isolated()) text += "; all zones are silent: this process is isolated";
   return text;
 }
 
--- a/src/zone_failover/zone_health_monitor.h
+++ b/src/zone_failover/zone_health_monitor.h
@@ -1,30 +1,36 @@
-// Whether a whole site is lost, from what each of its nodes answers. Values in, values out: no clock, socket
-// or thread of its own.
+// Zone health monitoring: detects the loss of a whole zone from the replies of its nodes.
 //
-//          silence of several           confirmed for lost_after
+//          several nodes silent         confirmed for confirmation_time
 //     up -------------------> suspect ----------------------------> lost
 //      ^                         |                                    |
-//      +--- nodes answer again --+                                    | enough nodes answer, for the hold
+//      +-- nodes reply again ----+                                    | enough nodes reply for recovery_hold
 //      |                                                              v
-//      +---------------- the comeback is complete ------------- returning --> (silence again: lost, longer
-//      hold)
+//      +------------------ recovery complete -------------------- returning --> (silent again: lost, with a
+//                                                                                longer hold)
 //
-// What counts is whether nodes answer: an answer or a refusal to a set-up, the result of a test. What they
-// say of themselves (notes, ends) does not: a site that can be heard and does not hear us can start nothing.
-// A question counts as unanswered only if nothing asked later was answered, so that a crowded node, which is
-// late with some and answers others, is no silent one.
+// "Request" means here an attempt, a health check or a reachability check that is sent to a node. The
+// evidence is whether nodes reply to requests, by accepting or rejecting an attempt or by answering a check.
+// Messages that a node sends on its own (task reports, completions) do not count: a zone that sends messages
+// but does not receive requests cannot start tasks. A request counts as unanswered only if no later request
+// was answered, so that an overloaded node, which answers some requests late, is not considered silent.
 //
-// Told apart: a crowded or slow site (some of its nodes answer within the window: at most suspect); a few
-// dead nodes (fewer than the share, or than `least`); a dead list (the list alone loses no site, and its
-// silence neither); a cut in one direction (`deaf`: we hear words and get no answers). And one's own cut: a
-// site is lost only if another one has answered since it fell silent, for which nodes of the others are asked
-// as well. Where none does, it is this process that is cut off: no site is lost, `cut_off` says so, until any
-// node answers.
+// Cases that are distinguished:
+//   Overloaded or slow zone: some of its nodes reply within the evidence window; it is suspect at most.
+//   A few dead nodes: less than suspect_share, or fewer than min_silent_nodes.
+//   Wrong or missing endpoint list: neither its content nor its absence alone makes a zone lost.
+//   One-way network partition: messages of the zone arrive, but requests to it go unanswered.
+//   Isolation of this process: a zone is lost only if another zone has replied since it fell silent; nodes of
+//     the other zones are checked to find out. If none replies, this process is isolated: no zone becomes
+//     lost, and is_isolated() holds until any node replies.
 //
-// How long a verdict may be wrong. Lost, though it is there: until `come_back` nodes have answered, for the
-// hold; while a site is lost some of its nodes are asked each `ask_again`. Up, though it is lost: as long as
-// nothing is sent there; with traffic, `quiet` after the last answer the site is suspect and questions go
-// out, these take `patience` of the caller to fail, and lost_after later the verdict stands.
+// Duration of a wrong verdict:
+//   Lost, but reachable: until recovered_share of the nodes have replied for the hold. Some nodes of a lost
+//     zone are checked every check_interval.
+//   Up, but lost: as long as nothing is sent there. With traffic, the zone is suspect silence_threshold after
+//     the last reply and checks are sent; these fail after the caller's time-out, and the zone is lost
+//     confirmation_time later.
+//
+// Owned by ZoneFailover and used on its thread. No clock or I/O. Memory grows with the listed nodes.
 #pragma once
 
 #include <cstdint>
@@ -38,95 +44,106 @@
 using Time = std::int64_t;  // nanoseconds
 using NodeId = std::uint32_t;
 
-enum class State { kUp, kSuspect, kLost, kReturning };
-const char* Name(State state);
+enum class ZoneState { kUp, kSuspect, kLost, kReturning };
+const char* ZoneStateName(ZoneState state);
 
+// Times are nanoseconds.
 struct HealthMonitorParameters {
-  double suspect_share = 0.4;       // of the nodes with evidence that is silent
-  int least = 4;                    // silent nodes, or all of a smaller site
-  Time window = 2'000'000'000;      // evidence is no older
-  Time quiet = 400'000'000;         // questions out, and the whole site has answered nothing for so long
-  Time lost_after = 300'000'000;    // from suspect on
-  Time ask_again = 1'000'000'000;   // a lost site's nodes
-  int asked_at_once = 6;            // nodes
-  double come_back = 0.25;          // share of its nodes that answer
-  Time hold = 500'000'000;          // they have done so for this long
-  Time hold_most = 16'000'000'000;  // doubled by each relapse up to this
-  Time relapse_within = 30'000'000'000;
+  double suspect_share = 0.4;               // silent share of the nodes with evidence, if suspect
+  int min_silent_nodes = 4;                 // if suspect or lost; all nodes of a smaller zone
+  Time evidence_window = 2'000'000'000;     // older evidence is ignored
+  Time silence_threshold = 400'000'000;     // with requests pending, no reply of any node of the zone
+  Time confirmation_time = 300'000'000;     // from suspect to lost
+  Time check_interval = 1'000'000'000;      // between two checks of nodes of a zone
+  int nodes_per_check = 6;                  // nodes of a zone that are checked at once
+  double recovered_share = 0.25;            // of a lost zone's nodes that have to reply
+  Time recovery_hold = 500'000'000;         // for how long they have to reply
+  Time max_recovery_hold = 16'000'000'000;  // the hold is doubled by each relapse up to this value
+  Time relapse_window = 30'000'000'000;     // a loss within this time after a recovery is a relapse
 };
 
+// Tracks the state of each zone.
 class ZoneHealthMonitor {
  public:
-  ZoneHealthMonitor(int sites, HealthMonitorParameters terms)
-      : terms_(terms), sites_(static_cast<std::size_t>(sites)) {}
+  ZoneHealthMonitor(int zone_count, HealthMonitorParameters parameters)
+      : parameters_(parameters), zones_(static_cast<std::size_t>(zone_count)) {}
 
-  void SetTerms(const HealthMonitorParameters& terms) { terms_ = terms; }
-  // The list names it in service at this site, or (site -1) no more.
-  void Listed(NodeId node, int site, Time now);
-  void Asked(NodeId node, Time now);         // a set-up or test is on its way there
-  void Answered(NodeId node, Time now);      // it answered something that was asked
-  void Spoke(NodeId node, Time now);         // it said something of itself
-  void Unanswered(NodeId node, Time asked);  // the patience with a question is over, or a dial failed
+  void SetParameters(const HealthMonitorParameters& parameters) { parameters_ = parameters; }
+  // The endpoint list has the node in service in this zone, or (zone -1) not in service.
+  void RecordListing(NodeId node, int zone, Time now);
+  // A request was sent to the node.
+  void RecordRequest(NodeId node, Time now);
+  // The node replied to a request.
+  void RecordReply(NodeId node, Time now);
+  // The node sent a message on its own.
+  void RecordReport(NodeId node, Time now);
+  // A request that was sent at `sent_at` timed out, or a dial failed.
+  void RecordUnanswered(NodeId node, Time sent_at);
 
-  // To be called every `kEvaluateEvery` or so: moves the states on. Returns the nodes to be asked now.
-  static constexpr Time kEvaluateEvery = 50'000'000;
+  static constexpr Time kEvaluationInterval = 50'000'000;
+  // Updates the states of all zones; to be called about every kEvaluationInterval. Returns the nodes to be
+  // checked now.
   std::vector<NodeId> Evaluate(Time now);
 
-  // The comeback of a returning site is complete.
-  void Recovered(int site, Time now);
+  // Ends the recovery of a returning zone: it is up.
+  void MarkRecovered(int index, Time now);
 
-  struct Site {
-    State state = State::kUp;
-    Time since = 0;         // in this state
-    Time silent_since = 0;  // of the suspicion that led here
-    Time hold = 0;
-    Time up_since = 0;  // of the last complete comeback; 0: it was never lost
-    Time answered_at = 0, spoke_at = 0, asked_at = 0, ask_due = 0;
-    Time coming_since = 0;  // enough of its nodes answer
-    int listed = 0;
-    int silent_now = 0;             // failed what was asked since the last answer of any node of the site
-    int silent = 0, answering = 0;  // asked since it is in this state; while it is up, within the window
-    int outstanding = 0;            // nodes with a question out that nothing was answered since
-    bool deaf = false;
-    std::uint64_t verdicts = 0;
+  struct Zone {
+    ZoneState state = ZoneState::kUp;
+    Time state_since = 0;
+    Time silent_since = 0;  // last reply, or recovery, before the latest suspicion
+    Time hold = 0;          // of the latest loss
+    Time recovered_at = 0;  // of the latest complete recovery; 0: none
+    Time last_reply = 0, last_report = 0, last_request = 0, next_check = 0;
+    Time replying_since = 0;  // enough nodes of the lost zone reply since then; 0: they do not
+    int listed_nodes = 0;
+    // Nodes that did not answer a request sent since the last reply of any node of the zone.
+    int silent_since_reply = 0;
+    // Nodes with evidence of a request sent in the current state; while the zone is up, within the window.
+    int silent_nodes = 0, replying_nodes = 0;
+    int pending_nodes = 0;           // nodes with a request sent and no reply since
+    bool one_way_partition = false;  // messages of the zone arrive, but requests to it go unanswered
+    std::uint64_t loss_count = 0;
   };
-  const Site& site(int i) const { return sites_[static_cast<std::size_t>(i)]; }
-  int size() const { return static_cast<int>(sites_.size()); }
-  bool cut_off() const { return cut_off_since_ > 0; }
-  Time cut_off_since() const { return cut_off_since_; }
-  std::size_t nodes() const { return nodes_.size(); }
-  std::string Cause(int site) const;  // of its state, for the log
+  const Zone& zone(int index) const { return zones_[static_cast<std::size_t>(index)]; }
+  int zone_count() const { return static_cast<int>(zones_.size()); }
+  // No zone replies: this process is isolated from the network.
+  bool is_isolated() const { return isolated_since_ > 0; }
+  Time isolated_since() const { return isolated_since_; }  // 0: not isolated
+  std::size_t node_count() const { return nodes_.size(); }
+  // The reason for the zone's state, for the log.
+  std::string DescribeState(int index) const;
 
  private:
   struct Node {
-    int site = -1;
-    Time asked_at = 0;  // the first question out since the last answer; 0: none
-    Time answered_at = 0, spoke_at = 0;
-    Time silent_since = 0;  // the first question since the last answer that failed; 0: none has
-    Time failed_asked = 0;  // when the last of these was asked
+    int zone = -1;
+    Time pending_since = 0;  // first request since the last reply; 0: none
+    Time last_reply = 0, last_report = 0;
+    Time silent_since = 0;          // first unanswered request since the last reply; 0: none
+    Time last_unanswered_sent = 0;  // when the latest unanswered request was sent
   };
-  void Count(Time now);
-  void Enter(Site* site, State state, Time now);
-  void Choose(int site, Time now, bool silent_first, std::vector<NodeId>* out);
-  bool IsQuiet(const Site& site, Time now) const;
-  bool IsAllSilent(const Site& site, Time now) const;
-  bool IsLargelySilent(const Site& site) const;
-  static double SilentShare(const Site& site);
-  bool IsDeaf(const Site& site, Time now) const;
-  bool IsInTouch(const Site& site, Time heard) const;
-  Time LastAnswer() const;
-  void UpdateCutOff(Time now, std::vector<NodeId>* ask);
-  // What Evaluate() does with a zone in each of its states.
-  void EvaluateUp(int index, Time now, std::vector<NodeId>* ask);
-  void EvaluateSuspect(int index, Time now, Time heard, std::vector<NodeId>* ask);
-  void EvaluateLost(int index, Time now, std::vector<NodeId>* ask);
-  void EvaluateReturning(int index, Time now, Time heard, std::vector<NodeId>* ask);
+  void CountNodes(Time now);
+  void EnterState(Zone* zone, ZoneState state, Time now);
+  void ChooseNodesToCheck(int zone, Time now, bool silent_first, std::vector<NodeId>* nodes_to_check);
+  bool IsQuiet(const Zone& zone, Time now) const;
+  bool IsAllSilent(const Zone& zone, Time now) const;
+  bool IsLargelySilent(const Zone& zone) const;
+  static double SilentShare(const Zone& zone);
+  bool IsOneWayPartition(const Zone& zone, Time now) const;
+  bool HasOtherZoneReplied(const Zone& zone, Time last_reply) const;
+  Time LastReply() const;
+  void UpdateIsolation(Time now, std::vector<NodeId>* nodes_to_check);
+  // Evaluate() for a zone in each of the states. `last_reply`: the latest reply of any zone.
+  void EvaluateUp(int index, Time now, std::vector<NodeId>* nodes_to_check);
+  void EvaluateSuspect(int index, Time now, Time last_reply, std::vector<NodeId>* nodes_to_check);
+  void EvaluateLost(int index, Time now, std::vector<NodeId>* nodes_to_check);
+  void EvaluateReturning(int index, Time now, Time last_reply, std::vector<NodeId>* nodes_to_check);
 
-  HealthMonitorParameters terms_;
-  std::vector<Site> sites_;
+  HealthMonitorParameters parameters_;
+  std::vector<Zone> zones_;
   NumberMap<NodeId, Node> nodes_;
-  Time cut_off_since_ = 0;
-  std::uint32_t turn_ = 0;
+  Time isolated_since_ = 0;
+  std::uint32_t check_round_ = 0;  // varies the order in which nodes are chosen
 };
 
 }  // namespace cluster_manager::zone_failover
--- a/tests/zone_failover_fleet.h
+++ b/tests/zone_failover_fleet.h
@@ -1,4 +1,4 @@
-// Three halls in virtual time, for the tests of the plan for lost sites.
+// A simulated fleet of three zones in virtual time, for the tests of zone failover.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 inline constexpr Time kMs = 1'000'000, kSecond = 1'000'000'000;
 
-inline Deployment Halls(int managers = 6) {
+inline Deployment ThreeZones(int managers = 6) {
   return {{"hall-a", "hall-b", "hall-c"},
           {"web-api", "card-worker", "settlement"},
           {1, 5, 5},
@@ -22,76 +22,77 @@
           3 * kSecond};
 }
 
-// Twelve nodes a hall and one cluster manager that asks them at random; what a hall does with a question is
-// the test's to say.
-struct Fleet {
+// Twelve nodes per zone and one cluster manager that sends requests to random nodes. The test sets how the
+// nodes of a zone reply.
+struct SimulatedFleet {
   static constexpr int kNodes = 36;
-  enum class Answer { kYes, kNo, kSpeaks };  // kSpeaks: it says something of itself, and does not answer
-  Deployment deployment = Halls();
+  // kReportOnly: the node sends a message on its own, and does not reply.
+  enum class Reply { kReply, kNone, kReportOnly };
+  Deployment deployment = ThreeZones();
   Plan plan = DefaultPlan(deployment);
-  std::optional<ZoneFailover> sites;
+  std::optional<ZoneFailover> failover;
   std::mt19937 random{7};
   Time now = 1'000 * kSecond;
-  std::function<Answer(int hall)> answers = [](int) { return Answer::kYes; };
-  // Of the set-ups and the tests that a hall which answers does answer in time.
-  double setups_answered = 1, tests_answered = 1;
-  int rate = 20;  // questions a second
-  struct Out {
-    Time at;
+  std::function<Reply(int zone)> reply_of_zone = [](int) { return Reply::kReply; };
+  // The share of attempts and of checks that a replying zone answers in time.
+  double attempt_reply_share = 1, check_reply_share = 1;
+  int request_rate = 20;  // attempts per second
+  struct PendingRequest {
+    Time due_at;
     int node;
-    Time asked;
-    Answer answer;
+    Time sent_at;
+    Reply reply;
   };
-  std::vector<Out> out;
+  std::vector<PendingRequest> pending;
   std::vector<std::string> log;
-  std::map<int, int> asked;  // by node, by the watch
+  std::map<int, int> check_count;  // checks requested by the health monitor, by node
 
-  Fleet() { Start(); }
+  SimulatedFleet() { Start(); }
   void Start() {
-    sites.emplace(plan, deployment);
-    for (int node = 0; node < kNodes; ++node) List(node, true);
+    failover.emplace(plan, deployment);
+    for (int node = 0; node < kNodes; ++node) ListNode(node, true);
   }
-  void List(int node, bool in_service) {
-    sites->Listed(static_cast<NodeId>(node), node % 3, in_service, {8, 13, 6, 10}, now);
+  void ListNode(int node, bool in_service) {
+    failover->RecordListing(static_cast<NodeId>(node), node % 3, in_service, {8, 13, 6, 10}, now);
   }
-  int Below(int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); }
-  void Question(int node, Time patience) {
-    sites->Asked(static_cast<NodeId>(node), now);
-    Answer answer = answers(node % 3);
-    const double share = patience < 500 * kMs ? tests_answered : setups_answered;
-    if (answer == Answer::kYes && Below(1000) >= 1000 * share) answer = Answer::kNo;
-    const Time after = answer == Answer::kYes ? (5 + Below(60)) * kMs : patience;
-    out.push_back({now + after, node, now, answer});
+  int RandomBelow(int limit) { return static_cast<int>(random() % static_cast<unsigned>(limit)); }
+  void SendRequest(int node, Time timeout) {
+    failover->RecordRequest(static_cast<NodeId>(node), now);
+    Reply reply = reply_of_zone(node % 3);
+    const double share = timeout < 500 * kMs ? check_reply_share : attempt_reply_share;
+    if (reply == Reply::kReply && RandomBelow(1000) >= 1000 * share) reply = Reply::kNone;
+    const Time delay = reply == Reply::kReply ? (5 + RandomBelow(60)) * kMs : timeout;
+    pending.push_back({now + delay, node, now, reply});
   }
   void Run(Time length) {
     for (const Time end = now + length; now < end;) {
       now += 10 * kMs;
-      if (Below(100) < rate) Question(Below(kNodes), 1000 * kMs);
-      std::erase_if(out, [this](const Out& o) {
-        if (o.at > now) return false;
-        const NodeId node = static_cast<NodeId>(o.node);
-        if (o.answer == Answer::kYes) {
-          sites->Answered(node, now);
+      if (RandomBelow(100) < request_rate) SendRequest(RandomBelow(kNodes), 1000 * kMs);
+      std::erase_if(pending, [this](const PendingRequest& request) {
+        if (request.due_at > now) return false;
+        const NodeId node = static_cast<NodeId>(request.node);
+        if (request.reply == Reply::kReply) {
+          failover->RecordReply(node, now);
         } else {
-          if (o.answer == Answer::kSpeaks) sites->Spoke(node, now);
-          sites->Unanswered(node, o.asked);
+          if (request.reply == Reply::kReportOnly) failover->RecordReport(node, now);
+          failover->RecordUnanswered(node, request.sent_at);
         }
         return true;
       });
-      if (now % ZoneFailover::kEvaluateEvery != 0) continue;
-      const ZoneFailover::Orders orders = sites->Evaluate(0, now);
-      for (const NodeId node : orders.ask) {
-        ++asked[static_cast<int>(node)];
-        Question(static_cast<int>(node), 250 * kMs);
+      if (now % ZoneFailover::kEvaluationInterval != 0) continue;
+      const ZoneFailover::Evaluation evaluation = failover->Evaluate(0, now);
+      for (const NodeId node : evaluation.nodes_to_check) {
+        ++check_count[static_cast<int>(node)];
+        SendRequest(static_cast<int>(node), 250 * kMs);
       }
-      log.insert(log.end(), orders.log.begin(), orders.log.end());
+      log.insert(log.end(), evaluation.log_lines.begin(), evaluation.log_lines.end());
     }
   }
-  State Of(int hall) const { return sites->watch().site(hall).state; }
-  // How long until the hall is in this state, up to `most`.
-  Time Until(int hall, State state, Time most) {
+  ZoneState StateOf(int zone) const { return failover->health_monitor().zone(zone).state; }
+  // Runs until the zone is in this state, for at most `limit`. Returns the time that it took.
+  Time RunUntil(int zone, ZoneState state, Time limit) {
     const Time from = now;
-    while (Of(hall) != state && now - from < most) Run(10 * kMs);
+    while (StateOf(zone) != state && now - from < limit) Run(10 * kMs);
     return now - from;
   }
 };
