--- a/src/completion/completion_queue.h
+++ b/src/completion/completion_queue.h
@@ -36,6 +36,7 @@
 
 namespace cluster_manager {
 
+// The completions to be delivered to clients, one entry per task.
 class CompletionQueue {
  public:
   using Time = std::int64_t;               // nanoseconds
--- a/src/completion/unclaimed_completions.h
+++ b/src/completion/unclaimed_completions.h
@@ -11,6 +11,7 @@
 
 namespace cluster_manager {
 
+// The reported completions of unknown tasks, in the order of their arrival.
 class UnclaimedCompletions {
  public:
   using Time = std::int64_t;  // nanoseconds
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -32,6 +32,7 @@
 
 namespace cluster_manager {
 
+// Implements the event interfaces of ports.h on top of the scheduler.
 class Dispatcher final : public ClientEvents, public NodeEvents, public DiscoveryEvents {
  public:
   // How long to wait for a node to confirm that it has stopped a task.
--- a/src/dispatch/ports.h
+++ b/src/dispatch/ports.h
@@ -128,11 +128,13 @@
   ~NodePort() = default;
 };
 
-// Sends requests to the discovery service.
+// Sends requests to the discovery service. Each request results in exactly one
+// DiscoveryEvents::OnEndpointListChanged, even if it fails.
 class DiscoveryPort {
  public:
-  // Each call results in exactly one DiscoveryEvents::OnEndpointListChanged, even if the request fails.
+  // Subscribes to changes of the endpoint list, or (false) ends the subscription.
   virtual void Subscribe(bool active) = 0;
+  // Requests the whole endpoint list once.
   virtual void Fetch() = 0;
 
  protected:
--- a/src/zone_failover/drill.h
+++ b/src/zone_failover/drill.h
@@ -9,6 +9,7 @@
 
 namespace cluster_manager::zone_failover {
 
+// A node of the endpoint list: its zone and resources, and those that no task has requested.
 struct DrillNode {
   int zone = -1;
   bool in_service = true;
@@ -51,10 +52,11 @@
   std::vector<std::string> violations;              // guarantees that the plan cannot keep
 };
 
+// The inputs of a drill besides the plan and the nodes.
 struct DrillParameters {
   std::map<std::string, double> demand_shares;  // of the requested cores by class, in any unit; empty: equal
-  // Settings that the plan depends on, in nanoseconds. `request_timeout`: until a request to a node counts as
-  // unanswered.
+  // Settings that the plan depends on, in nanoseconds. `request_timeout`: until a request to a node counts
+  // as unanswered.
   std::int64_t request_timeout = 250'000'000, slow_start_duration = 0, overload_window = 0;
   // Task starts per overload_window on a node younger than slow_start_duration; 0: no limit.
   double slow_start_sends = 0;
@@ -64,7 +66,9 @@
 Drill RunDrill(const Plan& plan, const Deployment& deployment, const std::vector<DrillNode>& nodes,
                const std::vector<int>& lost_zones, const DrillParameters& parameters);
 
+// The result as a table for operators.
 std::string FormatTable(const Drill& drill);
+// The result as JSON; its keys are an interface for operators' tools.
 nlohmann::json ToJson(const Drill& drill);
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/plan.h
+++ b/src/zone_failover/plan.h
@@ -24,6 +24,7 @@
   std::int64_t max_retry_after = 0;  // the longest Retry-After of a rejection, in nanoseconds; 0: no limit
 };
 
+// `zones`: the names of the zones, by zone number.
 Deployment DeploymentFromSettings(const scheduling::Settings& settings, std::vector<std::string> zones);
 
 // Matches requests of a class that meet all given conditions.
--- a/src/zone_failover/recovery_ramp.h
+++ b/src/zone_failover/recovery_ramp.h
@@ -23,12 +23,14 @@
   std::int64_t idle_completion_time = 20'000'000'000;
 };
 
+// The rate limit of one returning zone. Complete until the first Start().
 class RecoveryRamp {
  public:
   using Time = std::int64_t;  // nanoseconds
   RecoveryRamp(RecoveryRampParameters parameters, int manager_count)
       : parameters_(parameters), manager_count_(manager_count > 0 ? manager_count : 1) {}
 
+  // Applies new parameters, also to a recovery in progress.
   void SetParameters(const RecoveryRampParameters& parameters) { parameters_ = parameters; }
   // Starts the recovery of a zone with this number of nodes.
   void Start(int node_count, Time now);
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -91,7 +91,7 @@
     if (observed.state != record.state) {
       const ZoneState before = std::exchange(record.state, observed.state);
       if (observed.state == ZoneState::kReturning) record.recovery_ramp.Start(observed.listed_nodes, now);
-      // Suspicions are frequent and not logged, nor is their end.
+      // Suspicions are frequent: neither they nor their end are logged, only a loss that follows.
       if (observed.state != ZoneState::kSuspect &&
           !(before == ZoneState::kSuspect && observed.state == ZoneState::kUp)) {
         evaluation.log_lines.push_back("zone " + deployment_.zones[static_cast<std::size_t>(i)] + " is " +
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,10 +1,11 @@
 // Zone failover: applies the operators' plan for the loss of zones in one cluster manager.
 //
-// Purpose: combines the zone health monitor, the admission control and the recovery ramps of returning zones.
-// The dispatcher reports requests, replies and endpoint list entries and calls Evaluate() periodically. The
-// scheduler consults the result through scheduling::ZonePolicy before each placement.
+// Purpose: combines the zone health monitor, the admission control and the recovery ramps of returning
+// zones. The dispatcher reports requests, replies and endpoint list entries and calls Evaluate()
+// periodically. The scheduler consults the result through scheduling::ZonePolicy before each placement.
 // Owns: the plan, the monitor, the admission control, and a record per zone and per listed node.
 // Called by: the dispatcher and its scheduler on the event loop's thread. Owned by the server process.
+//
 // Has no I/O, clock or randomness of its own: cluster managers that observe the same events decide the same
 // without communicating.
 #pragma once
@@ -26,8 +27,10 @@
   double cores = 0, memory = 0, free_cores = 0, free_memory = 0;
 };
 
+// The zone policy of the scheduler according to the failover plan.
 class ZoneFailover final : public scheduling::ZonePolicy {
  public:
+  // `plan` has to be validated against `deployment`, as by ReadPlan.
   ZoneFailover(Plan plan, const Deployment& deployment);
   // Replaces the plan at once. The states of the zones are kept.
   void ApplyPlan(Plan plan);
