--- a/src/clients/client_completions.cpp
+++ b/src/clients/client_completions.cpp
@@ -109,13 +109,13 @@
 
 void ClientFrontend::SendCompletion(Handle client_connection, TaskId id, TaskEnd over) {
   ++counters.completions_sent;
-  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kReset;
+  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
   QueueCompletion(client_connection, Type::kRelease, id, cause);
 }
 
 void ClientFrontend::SendMigration(Handle client_connection, TaskId id) {
   ++counters.migrations_sent;
-  QueueCompletion(client_connection, Type::kMove, id, Cause::kReset);
+  QueueCompletion(client_connection, Type::kMigration, id, Cause::kAborted);
 }
 
 }  // namespace cluster_manager
--- a/src/discovery/roster.cpp
+++ b/src/discovery/roster.cpp
@@ -36,14 +36,14 @@
 // What the entry does not say stays as it was known.
 ListedNode EndpointList::Read(const std::string& uid, const json& entry) const {
   ListedNode node;
-  node.entry.nominal = 1;
+  node.entry.nominal_capacity = 1;
   if (const auto known = nodes_.find(uid); known != nodes_.end()) node = known->second;
   node.entry.node = NodeIdFromUid(uid);
   node.entry.state = ReadState(entry.at("state").get<std::string>());
   if (entry.contains("az")) node.entry.zone = Position(zones_, entry["az"].get<std::string>());
   if (entry.contains("model")) node.entry.kind = Position(kinds_, entry["model"].get<std::string>());
   node.entry.rack = entry.value("pod_group", node.entry.rack);
-  node.entry.nominal = entry.value("capacity_hint", node.entry.nominal);
+  node.entry.nominal_capacity = entry.value("capacity_hint", node.entry.nominal_capacity);
   if (entry.contains("boot_ms")) node.entry.started_at = entry["boot_ms"].get<std::int64_t>() * kMs;
   if (entry.contains("unasked")) {
     node.entry.free_cores = entry["unasked"][0].get<double>();
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -42,7 +42,7 @@
   dispatcher_.Connect(&frontend_, &node_pool_, &endpoint_list_);
   LoadZoneFailoverPlan();
   frontend_.SetDescriptorLimit(SocketsWithoutAdmin(config_.sockets));
-  node_pool_.SetClientDescriptors([this] { return frontend_.size(); });
+  node_pool_.SetClientDescriptors([this] { return frontend_.connection_count(); });
   if (config_.admin) dispatcher_.SetSuspensions(&suspensions_);
   OpenSharedFiles();
   endpoint_list_.PublishKnownList(config_.known);
@@ -103,7 +103,7 @@
     case Phase::kServing:
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kOpen);
       // The accept queue of an inherited socket is served by another process until now.
-      frontend_.Resume();
+      frontend_.ResumeAccepting();
       break;
     case Phase::kDraining:
       Log("drained by an operator: %zu requests to settle, %zu tasks stand",
@@ -189,12 +189,12 @@
   if (counting_build != nullptr) counting_build(stderr);
   const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_request_count()},
                                                        {"standing", dispatcher_.RunningTaskCount()},
-                                                       {"owners", frontend_.size()},
+                                                       {"owners", frontend_.connection_count()},
                                                        {"owed_ends", frontend_.queued_completions()},
                                                        {"listed", dispatcher_.listed_node_count()},
                                                        {"module", dispatcher_.scheduler_entry_count()},
                                                        {"roster", endpoint_list_.size()},
-                                                       {"agents", node_pool_.size()},
+                                                       {"agents", node_pool_.node_count()},
                                                        {"agent_lines", node_pool_.connection_count()},
                                                        {"agent_open", node_pool_.unanswered_attempt_count()},
                                                        {"blocks", Blocks().live()},
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -205,7 +205,7 @@
   return admission_control_.Admits(rank, task.name != 0 ? task.name : task.service);
 }
 
-bool ZoneFailover::RejectsBoundRequests(int class_index) const {
+bool ZoneFailover::RejectsZoneBoundRequests(int class_index) const {
   const std::size_t i = static_cast<std::size_t>(class_index);
   return i < plan_.bound_request_policies.size() &&
          plan_.bound_request_policies[i] == BoundRequestPolicy::kReject;
--- a/tests/address_successor_test.cpp
+++ b/tests/address_successor_test.cpp
@@ -35,9 +35,9 @@
     PublishEndpoints({Node("s-00000002", second.endpoint(), 5, "terminated")});
     Ask(&*client, kTask, "unsafe");
     node.emplace(first.Accept());
-    node->Hear(Type::kSetUp, kTask);
+    node->Hear(Type::kTaskRequest, kTask);
     node->Answer(kTask, "there");
-    client->Hear(Type::kAnswer, kTask);
+    client->Hear(Type::kTaskAccepted, kTask);
   }
   void PublishEndpoints(const std::vector<json>& nodes) {
     const std::string event_id = std::to_string(++list_version);
@@ -55,8 +55,9 @@
       for (Wire& connection : successor_connections) {
         if (!connection.Speaks(2)) continue;
         const Heard heard = connection.Hear();
-        if (heard.type == Type::kTest) connection.Say(Type::kTestResult, heard.task, Cause::kTestPassed);
-        if (heard.type != Type::kSetUp) continue;
+        if (heard.type == Type::kHealthCheck)
+          connection.Say(Type::kHealthCheckResult, heard.task, Cause::kHealthCheckPassed);
+        if (heard.type != Type::kTaskRequest) continue;
         CHECK(heard.task == task);
         successor = &connection;
         return;
@@ -92,7 +93,7 @@
   SUBCASE("the successor in the second of two events") { in_one_event = false; }
   if (!accepted_late) {
     successor->Answer(kOther, "here");
-    client->Hear(Type::kAnswer, kOther);
+    client->Hear(Type::kTaskAccepted, kOther);
   }
   if (in_one_event) {
     PublishEndpoints({RemovedEntry(), SuccessorEntry(boot_ms)});
@@ -103,14 +104,14 @@
   WaitForGracePeriod();
   if (accepted_late) {
     successor->Answer(kOther, "here");
-    client->Hear(Type::kAnswer, kOther);
+    client->Hear(Type::kTaskAccepted, kOther);
   }
   client->NothingElse();
   program->Counted("tasks_moved_to_address_successor", 1);
   // The successor is in service: another task is placed there, and its completions are received.
   PlaceTask(3);
   successor->Answer(3, "here");
-  client->Hear(Type::kAnswer, 3);
+  client->Hear(Type::kTaskAccepted, 3);
   successor->Say(Type::kRelease, kOther, Cause::kEnded);
   CHECK(client->Hear(Type::kRelease, kOther).cause == 16);
   // Its death ends the running task.
@@ -126,7 +127,7 @@
   program->Logged("connection reset");
   PlaceTask(kOther);
   successor->Answer(kOther, "here");
-  client->Hear(Type::kAnswer, kOther);
+  client->Hear(Type::kTaskAccepted, kOther);
   bool neither_attributed = false;
   SUBCASE("the endpoint list gives the start time of the successor") {
     // Later than the start of both tasks: neither is known to run at the successor.
@@ -155,7 +156,7 @@
   SUBCASE("without a successor") { PublishEndpoints({RemovedEntry()}); }
   CHECK(client->Hear(Type::kRelease, kTask).cause == 41);
   Heard heard = node->Hear();
-  while (heard.type == Type::kTest) heard = node->Hear();
+  while (heard.type == Type::kHealthCheck) heard = node->Hear();
   CHECK(heard.type == Type::kRelease);
   CHECK(heard.task == kTask);
   CHECK(heard.cause == 31);
--- a/tests/compatibility_config_test.cpp
+++ b/tests/compatibility_config_test.cpp
@@ -91,7 +91,7 @@
         s.reports_task_use, s.reports_memory_pressure);
     Add(s.scheduler_count, s.scheduler_index, s.zone, s.max_attempts, s.slow_start_sends, s.tick,
         s.answer_slack);
-    Add(s.subscribe_within, s.slow_start_duration, s.slow_start_initial_speed, s.overload_window,
+    Add(s.subscription_timeout, s.slow_start_duration, s.slow_start_initial_speed, s.overload_window,
         s.drain_grace, s.max_retry_after, s.over_quota_weight);
     Add(s.node_price);
   }
@@ -108,7 +108,7 @@
     for (const ListedNode& node : roster.All().nodes) {
       const scheduling::NodeEntry& entry = node.entry;
       Add(node.endpoint, entry.node, static_cast<int>(entry.state), entry.kind, entry.zone, entry.rack);
-      Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal);
+      Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal_capacity);
     }
   }
   std::ostringstream text_;
@@ -174,7 +174,7 @@
   const scheduling::Settings s = ReadConfig(Read("router_config.json")).settings;
   REQUIRE(s.classes.size() == 2);
   CHECK(s.classes[0] == scheduling::ClassSettings{"web api", 700'000'000, 6'000'000'000,
-                                                  RetrySafety::kIdempotent, FailureDomain::kFleet,
+                                                  RetrySafety::kIdempotent, FailureDomain::kCluster,
                                                   5'000'000'000, 1.5, 0.25, 8.5, 0.75, 0.875, 1, 2,
                                                   FailureDomain::kRack, 4});
   CHECK(s.classes[1] == scheduling::ClassSettings{"card", 800'000'000, 7'000'000'000,
@@ -210,7 +210,7 @@
   CHECK(s.slow_start_sends == 3.5);
   CHECK(s.tick == 2'000'000);
   CHECK(s.answer_slack == 11'000'000);
-  CHECK(s.subscribe_within == 12'000'000);
+  CHECK(s.subscription_timeout == 12'000'000);
   CHECK(s.slow_start_duration == 13'000'000);
   CHECK(s.slow_start_initial_speed == 0.625);
   CHECK(s.overload_window == 14'000'000);
@@ -237,7 +237,7 @@
   CHECK(node.entry.zone == 1);
   CHECK(node.entry.kind == 1);
   CHECK(node.entry.rack == 5);
-  CHECK(node.entry.nominal == 0.75);
+  CHECK(node.entry.nominal_capacity == 0.75);
   CHECK(node.entry.started_at == 1'700'000'000'123 * kMs);
   CHECK(node.entry.free_cores == 10.5);
   CHECK(node.entry.free_memory == 100.25);
@@ -363,7 +363,7 @@
                                                                      {"machine", FailureDomain::kNode},
                                                                      {"cell", FailureDomain::kRack},
                                                                      {"zone", FailureDomain::kZone},
-                                                                     {"all", FailureDomain::kFleet}};
+                                                                     {"all", FailureDomain::kCluster}};
   for (const auto& [word, place] : places) {
     config["settings"]["Services"][0]["Group"] = word;
     config["settings"]["FamilyInfo"]["ApartBy"][0] = word;
--- a/tests/compatibility_deploy_test.cpp
+++ b/tests/compatibility_deploy_test.cpp
@@ -193,13 +193,13 @@
     CHECK(file.members[i].name == "n" + std::to_string(i));
     CHECK(file.members[i].weight == 1);
   }
-  CHECK(file.lease == 3'000 * kMillisecond);
-  CHECK(file.skew == 200 * kMillisecond);
-  CHECK(file.report == 250 * kMillisecond);
-  CHECK(file.floor_lease == 0);
+  CHECK(file.lease_duration == 3'000 * kMillisecond);
+  CHECK(file.max_clock_skew == 200 * kMillisecond);
+  CHECK(file.report_interval == 250 * kMillisecond);
+  CHECK(file.guarantee_duration == 0);
   CHECK(file.hysteresis == 100'000);
-  CHECK(file.max_move == 500'000);
-  CHECK(file.most_keys == 4096);
+  CHECK(file.max_change_per_second == 500'000);
+  CHECK(file.max_keys == 4096);
   CHECK(file.rules.size() == 9);
 }
 
@@ -218,11 +218,11 @@
       {"cold_starts", "*", Kind::kRate, 4, 1, 1500, 0, 0},
       {"retries", "*", Kind::kRate, 100, 1, 1000, 0, 500'000},
       {"site_return", "*", Kind::kRate, 8, 1, 1000, 0, 500'000},
-      {"tenant_cores", "batch-*", Kind::kLevel, 40, 1, 1000, 0, 250'000},
-      {"tenant_cores", "*", Kind::kLevel, 200, 1, 1000, 0, 500'000},
+      {"tenant_cores", "batch-*", Kind::kConcurrency, 40, 1, 1000, 0, 250'000},
+      {"tenant_cores", "*", Kind::kConcurrency, 200, 1, 1000, 0, 500'000},
       {"class_rate", "settlement", Kind::kRate, 50, 1, 1000, 0, 500'000},
-      {"node_attempts", "*", Kind::kLevel, 10, 1, 1000, 2000, 500'000},
-      {"reservations", "*", Kind::kLevel, 1, 1, 1000, 2000, 0},
+      {"node_attempts", "*", Kind::kConcurrency, 10, 1, 1000, 2000, 500'000},
+      {"reservations", "*", Kind::kConcurrency, 1, 1, 1000, 2000, 0},
       {"spending", "payments/*", Kind::kAmount, 12'000, 0.01, 1000, 0, 0}};
   const budgets::BudgetFile file = budgets::LoadBudgets(DataFile("budgets.json"));
   REQUIRE(file.rules.size() == expected.size());
@@ -232,13 +232,13 @@
     CHECK(rule.name == expected[i].name);
     CHECK(rule.pattern == expected[i].pattern);
     CHECK(rule.kind == expected[i].kind);
-    CHECK(static_cast<double>(rule.whole) == expected[i].whole * 1e6);
-    CHECK(static_cast<double>(rule.grain) == expected[i].grain * 1e6);
+    CHECK(static_cast<double>(rule.limit) == expected[i].whole * 1e6);
+    CHECK(static_cast<double>(rule.granularity) == expected[i].grain * 1e6);
     CHECK(rule.window == expected[i].window_ms * kMillisecond);
-    CHECK(rule.linger == expected[i].linger_ms * kMillisecond);
-    CHECK(rule.floor_share == expected[i].floor_share);
+    CHECK(rule.max_hold_time == expected[i].linger_ms * kMillisecond);
+    CHECK(rule.guaranteed_fraction == expected[i].floor_share);
   }
-  CHECK(file.rules[5].stated_floors == std::map<std::string, budgets::Micro>{{"n0", 20'000'000}});
+  CHECK(file.rules[5].explicit_guarantees == std::map<std::string, budgets::Micro>{{"n0", 20'000'000}});
 }
 
 TEST_CASE("each key of budgets.json that the kept one leaves at its default carries its value") {
@@ -252,13 +252,13 @@
   document["most_keys"] = 17;
   document["members"][1]["weight"] = 2;
   const budgets::BudgetFile file = budgets::ReadBudgets(document, "budgets.json");
-  CHECK(file.lease == 3'001 * kMillisecond);
-  CHECK(file.skew == 201 * kMillisecond);
-  CHECK(file.report == 251 * kMillisecond);
-  CHECK(file.floor_lease == 9'000 * kMillisecond);
+  CHECK(file.lease_duration == 3'001 * kMillisecond);
+  CHECK(file.max_clock_skew == 201 * kMillisecond);
+  CHECK(file.report_interval == 251 * kMillisecond);
+  CHECK(file.guarantee_duration == 9'000 * kMillisecond);
   CHECK(file.hysteresis == 125'000);
-  CHECK(file.max_move == 250'000);
-  CHECK(file.most_keys == 17);
+  CHECK(file.max_change_per_second == 250'000);
+  CHECK(file.max_keys == 17);
   CHECK(file.members[1].weight == 2);
 }
 
@@ -280,32 +280,33 @@
   CHECK(team.name == "payments");
   CHECK(team.cap == 12'000 * spending::kUnit);
   CHECK(team.quantile_ppm == 900'000);
-  CHECK(team.zone.OffsetAt(*spending::InstantNamed("2026-01-15T00:00:00Z")) == 3600);
-  CHECK(team.zone.OffsetAt(*spending::InstantNamed("2026-07-15T00:00:00Z")) == 7200);
+  CHECK(team.time_zone.OffsetAt(*spending::ParseInstant("2026-01-15T00:00:00Z")) == 3600);
+  CHECK(team.time_zone.OffsetAt(*spending::ParseInstant("2026-07-15T00:00:00Z")) == 7200);
   REQUIRE(team.steps.size() == 2);
   CHECK(team.steps[0].notice == 750'000);
-  CHECK(team.steps[0].no_more == 900'000);
-  CHECK(team.steps[0].hard == 1'000'000);
+  CHECK(team.steps[0].no_new_tasks == 900'000);
+  CHECK(team.steps[0].hard_stop == 1'000'000);
   CHECK(team.steps[1].notice == 900'000);
-  CHECK(team.steps[1].no_more == 1'000'000);
-  CHECK(team.steps[1].hard == 1'050'000);
-  CHECK(plan.claims == std::map<std::pair<std::string, std::string>, int>{{{"", "payments"}, 0}});
-  CHECK(plan.unknown_runs == 3600 * kSecondLong);
-  CHECK(plan.lost_kept == 600 * kSecondLong);
-  CHECK(plan.ask_kept == 30 * kSecondLong);
-  CHECK(plan.draw_again == 1'000 * kMillisecond);
-  CHECK(plan.ledger_silent == 10'000 * kMillisecond);
+  CHECK(team.steps[1].no_new_tasks == 1'000'000);
+  CHECK(team.steps[1].hard_stop == 1'050'000);
+  CHECK(plan.team_by_task == std::map<std::pair<std::string, std::string>, int>{{{"", "payments"}, 0}});
+  CHECK(plan.default_remaining == 3600 * kSecondLong);
+  CHECK(plan.lost_task_retention == 600 * kSecondLong);
+  CHECK(plan.reservation_timeout == 30 * kSecondLong);
+  CHECK(plan.draw_retry_interval == 1'000 * kMillisecond);
+  CHECK(plan.ledger_timeout == 10'000 * kMillisecond);
 }
 
 // What an hour of the size costs from the instant on, in micro-units.
-spending::Money HourFrom(const spending::Plan& plan, const spending::Size& size, const std::string& instant) {
-  const spending::Seconds from = *spending::InstantNamed(instant);
-  return spending::Tariffs::RoundedUp(plan.tariffs.Parts(size, 0, from, from + 3600));
+spending::Money HourFrom(const spending::Plan& plan, const spending::TaskSize& size,
+                         const std::string& instant) {
+  const spending::Seconds from = *spending::ParseInstant(instant);
+  return spending::Tariffs::RoundUp(plan.tariffs.CostParts(size, 0, from, from + 3600));
 }
 
 TEST_CASE("the tariffs of the kept spending.json price a core, a GiB and a worker by date") {
   const spending::Plan plan = spending::LoadPlan(DataFile("spending.json"), Payments());
-  const spending::Size nothing, core{1000, 0}, gib{0, 1024};
+  const spending::TaskSize nothing, core{1000, 0}, gib{0, 1024};
   CHECK(HourFrom(plan, nothing, "2026-02-01T00:00:00Z") == 1'000);
   CHECK(HourFrom(plan, core, "2026-02-01T00:00:00Z") == 43'000);
   CHECK(HourFrom(plan, gib, "2026-02-01T00:00:00Z") == 6'500);
@@ -323,21 +324,21 @@
                        {"ask_kept_s", 31},
                        {"draw_again_ms", 1001},
                        {"ledger_silent_ms", 10'001}};
-  const spending::Plan plan = spending::ReadPlan(document, "spending.json", Payments());
+  const spending::Plan plan = spending::ParsePlan(document, "spending.json", Payments());
   CHECK(plan.teams[0].quantile_ppm == 750'000);
-  CHECK(plan.TeamOf("shop one", "other") == 0);
-  CHECK(plan.unknown_runs == 3601 * kSecondLong);
-  CHECK(plan.lost_kept == 601 * kSecondLong);
-  CHECK(plan.ask_kept == 31 * kSecondLong);
-  CHECK(plan.draw_again == 1'001 * kMillisecond);
-  CHECK(plan.ledger_silent == 10'001 * kMillisecond);
+  CHECK(plan.FindTeam("shop one", "other") == 0);
+  CHECK(plan.default_remaining == 3601 * kSecondLong);
+  CHECK(plan.lost_task_retention == 601 * kSecondLong);
+  CHECK(plan.reservation_timeout == 31 * kSecondLong);
+  CHECK(plan.draw_retry_interval == 1'001 * kMillisecond);
+  CHECK(plan.ledger_timeout == 10'001 * kMillisecond);
 }
 
 TEST_CASE("a key of spending.json that is changed by one letter is refused") {
   json document = Read("spending.json");
   document["teams"][0]["members"].push_back({{"tenant", "shop one"}});
   CheckRenamedKeysRefused(
-      document, [](const json& changed) { spending::ReadPlan(changed, "spending.json", Payments()); });
+      document, [](const json& changed) { spending::ParsePlan(changed, "spending.json", Payments()); });
 }
 
 }  // namespace
--- a/tests/compatibility_samples.h
+++ b/tests/compatibility_samples.h
@@ -4,11 +4,11 @@
 
 #include <string>
 
-#include "budgets/part.h"
+#include "budgets/member_share.h"
 #include "consensus/message.h"
 #include "handover/handover.h"
 #include "node_suspension/node_suspensions.h"
-#include "spending_world.h"
+#include "spending_fixtures.h"
 #include "store/store.h"
 
 namespace cluster_manager::compatibility {
@@ -46,10 +46,10 @@
 
 inline store::Batch SampleBatch() {
   store::Batch batch;
-  batch.state = store::State{0x1122334455667788, 0x99aabbccddeeff00, 12, 0x1122334455667788};
+  batch.state = store::PersistentState{0x1122334455667788, 0x99aabbccddeeff00, 12, 0x1122334455667788};
   batch.snapshot = store::Snapshot{40, 11, {1, 2, 3}, {4, 5, 6, 7}};
-  batch.whole = true;
-  batch.first = 41;
+  batch.remove_all_entries = true;
+  batch.first_index = 41;
   batch.entries = {{11, 0, {}}, {12, 1, {0, 255, 128}}, {12, 2, {9}}};
   batch.named = {{"floors", {10, 20, 30}}, {"spending", {0}}};
   return batch;
@@ -90,10 +90,10 @@
   using budgets::kUnit;
   budgets::BudgetFile file;
   file.members = {{0, "n0", 1}, {1, "n1", 2}};
-  file.lease = 2 * kBudgetSecond;
+  file.lease_duration = 2 * kBudgetSecond;
   file.rules.resize(3);
   file.rules[0] = {"retries", "*", budgets::Kind::kRate, 100 * kUnit, kUnit, kBudgetSecond, 0, 400'000, {}};
-  file.rules[1] = {"node_attempts", "*",     budgets::Kind::kLevel, 40 * kUnit, kUnit, kBudgetSecond,
+  file.rules[1] = {"node_attempts", "*",     budgets::Kind::kConcurrency, 40 * kUnit, kUnit, kBudgetSecond,
                    300'000'000,     500'000, {{"n1", 5 * kUnit}}};
   file.rules[2] = {"spending", "pay/*", budgets::Kind::kAmount, 1000 * kUnit, 10'000, kBudgetSecond, 0,
                    0,          {}};
@@ -106,14 +106,14 @@
   command.kind = budgets::Command::Kind::kReport;
   command.member = 1;
   command.incarnation = 2;
-  command.floor_version = 1;
-  command.needs = {{{0, ""}, 30 * budgets::kUnit, 20 * budgets::kUnit, 4, 6 * budgets::kUnit}};
+  command.shares_version = 1;
+  command.demands = {{{0, ""}, 30 * budgets::kUnit, 20 * budgets::kUnit, 4, 6 * budgets::kUnit}};
   command.amounts = {{{2, "pay/2026-12"}, 50 * budgets::kUnit, 20 * budgets::kUnit, 10 * budgets::kUnit}};
-  command.barred = {7};
+  command.excluded = {7};
   command.members = {{8, "n8", 3}};
   command.key = {1, "node-1"};
-  command.whole = 9;
-  command.settled = 10;
+  command.limit = 9;
+  command.spent = 10;
   return command;
 }
 
@@ -122,10 +122,10 @@
   using budgets::Command;
   budgets::Ledger ledger(SampleBudgets());
   Command command = SampleCommand();
-  command.needs[0] = {{0, ""}, 60 * budgets::kUnit, 50 * budgets::kUnit, 0, 0};
+  command.demands[0] = {{0, ""}, 60 * budgets::kUnit, 50 * budgets::kUnit, 0, 0};
   ledger.Apply(command, kBudgetStart);
   command.member = 0;
-  command.needs.push_back({{1, "node-1"}, 12 * budgets::kUnit, 9 * budgets::kUnit, 0, 0});
+  command.demands.push_back({{1, "node-1"}, 12 * budgets::kUnit, 9 * budgets::kUnit, 0, 0});
   ledger.Apply(command, kBudgetStart + 1);
   Command grant;
   grant.kind = Command::Kind::kGrant;
@@ -135,20 +135,20 @@
   ledger.Apply(command, kBudgetStart + kBudgetSecond + 5);
   ledger.Apply(grant, kBudgetStart + kBudgetSecond * 3 / 2);
   Command retire;
-  retire.kind = Command::Kind::kRetire;
+  retire.kind = Command::Kind::kRetireKey;
   retire.key = {2, "pay/2026-11"};
   ledger.Apply(retire, kBudgetStart + 2 * kBudgetSecond + 1);
   Command change;
-  change.kind = Command::Kind::kWholeChanged;
+  change.kind = Command::Kind::kChangeLimit;
   change.key = {0, ""};
-  change.whole = 80 * budgets::kUnit;
+  change.limit = 80 * budgets::kUnit;
   ledger.Apply(change, kBudgetStart + 2 * kBudgetSecond + 2);
   return ledger;
 }
 
-inline budgets::Part SamplePart() {
-  budgets::Part part(SampleBudgets(), {1, 3, true, {}}, kBudgetStart);
-  part.Hear(SampleLedger().WordFor(1), kBudgetStart + 2 * kBudgetSecond);
+inline budgets::MemberShare SamplePart() {
+  budgets::MemberShare part(SampleBudgets(), {1, 3, true, {}}, kBudgetStart);
+  part.OnLedgerUpdate(SampleLedger().UpdateFor(1), kBudgetStart + 2 * kBudgetSecond);
   return part;
 }
 
@@ -158,22 +158,22 @@
 // back.
 inline nlohmann::json SampleBooks() {
   using spending::kSecond;
-  spending::Alone alone;
-  alone.Look();
-  alone.Run(spending::Worker(1, 0, 2), 600);
-  alone.Run(spending::Worker(2, 1, 3), 7200);
-  alone.Run(spending::Worker(3, 0, 1), 7200);
-  alone.Run(spending::Worker(4, 1, 1), 7200);
-  alone.Look(600 * kSecond);
-  alone.room.Over(1, alone.now - 5 * kSecond, alone.now);
-  alone.room.Lost(3, alone.now, alone.now);
-  alone.room.Changed(4, 0, {2000, 0}, 1, alone.now);
-  alone.told.runs[5] = 3600;
-  alone.Add(spending::Worker(5, 0, 1));
-  alone.room.MayAdd(spending::Worker(6, 0, 40), alone.now);
-  alone.room.HandedAway(2, alone.now, alone.now);
-  alone.room.Look(alone.now + kSecond);
-  return alone.room.Snapshot();
+  spending::SingleMember alone;
+  alone.Evaluate();
+  alone.AdmitAndStart(spending::NewTask(1, 0, 2), 600);
+  alone.AdmitAndStart(spending::NewTask(2, 1, 3), 7200);
+  alone.AdmitAndStart(spending::NewTask(3, 0, 1), 7200);
+  alone.AdmitAndStart(spending::NewTask(4, 1, 1), 7200);
+  alone.Evaluate(600 * kSecond);
+  alone.controller.OnTaskEnded(1, alone.now - 5 * kSecond, alone.now);
+  alone.controller.OnTaskLost(3, alone.now, alone.now);
+  alone.controller.OnTaskChanged(4, 0, {2000, 0}, 1, alone.now);
+  alone.estimator.run_seconds[5] = 3600;
+  alone.Admit(spending::NewTask(5, 0, 1));
+  alone.controller.Admit(spending::NewTask(6, 0, 40), alone.now);
+  alone.controller.OnTaskHandedOver(2, alone.now, alone.now);
+  alone.controller.Evaluate(alone.now + kSecond);
+  return alone.controller.Snapshot();
 }
 
 }  // namespace cluster_manager::compatibility
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -124,9 +124,9 @@
   std::string fault;
   const auto kept = store::Store::Open(folder.Copy("store.sqlite"), {}, &fault);
   REQUIRE_MESSAGE(kept != nullptr, fault);
-  const store::Content content = kept->TakeContent();
+  const store::Content content = kept->ReleaseContent();
   const store::Batch batch = SampleBatch();
-  CHECK_FALSE(content.fresh);
+  CHECK_FALSE(content.created);
   CHECK(content.state == *batch.state);
   CHECK(content.snapshot == *batch.snapshot);
   CHECK(content.entries == batch.entries);
@@ -212,25 +212,25 @@
 TEST_CASE("a kept snapshot of the ledger says the same of each budget and to each member") {
   const budgets::Ledger kept(json::parse(Kept("ledger_snapshot.json"))), sample = SampleLedger();
   CHECK(kept.time() == sample.time());
-  CHECK(kept.changing());
+  CHECK(kept.change_pending());
   CHECK(kept.counters().commands == 7);
   CHECK(kept.counters().grants == sample.counters().grants);
   CHECK(kept.counters().orphaned == sample.counters().orphaned);
   for (const budgets::Key& key : {budgets::Key{0, ""}, {1, "node-1"}, {2, "pay/2026-12"}}) {
     CAPTURE(key.scope);
-    const budgets::Ledger::Use is = kept.UseOf(key), was = sample.UseOf(key);
-    CHECK(is.whole == was.whole);
-    CHECK(is.floors == was.floors);
-    CHECK(is.lent == was.lent);
-    CHECK(is.waits == was.waits);
+    const budgets::Ledger::Usage is = kept.UsageOf(key), was = sample.UsageOf(key);
+    CHECK(is.limit == was.limit);
+    CHECK(is.guaranteed == was.guaranteed);
+    CHECK(is.leased == was.leased);
+    CHECK(is.pending_return == was.pending_return);
     CHECK(is.drawn == was.drawn);
     CHECK(is.spent == was.spent);
   }
   for (const budgets::MemberId member : {0U, 1U}) {
-    const budgets::Word is = kept.WordFor(member), was = sample.WordFor(member);
+    const budgets::LedgerUpdate is = kept.UpdateFor(member), was = sample.UpdateFor(member);
     CHECK(is.incarnation == was.incarnation);
-    CHECK(is.floor_version == was.floor_version);
-    CHECK(is.floors == was.floors);
+    CHECK(is.shares_version == was.shares_version);
+    CHECK(is.guaranteed_shares == was.guaranteed_shares);
     CHECK(is.leases.size() == was.leases.size());
     CHECK(is.accounts.size() == was.accounts.size());
   }
@@ -238,13 +238,13 @@
 
 TEST_CASE("a kept command to the ledger is read with each value, and written again with the same bytes") {
   const std::string kept = Kept("ledger_command.json");
-  const budgets::Command command = budgets::CommandOf(json::parse(kept));
-  CHECK(Line(budgets::AsJson(command)) == kept);
-  CHECK(Line(budgets::AsJson(SampleCommand())) == kept);
+  const budgets::Command command = budgets::CommandFromJson(json::parse(kept));
+  CHECK(Line(budgets::ToJson(command)) == kept);
+  CHECK(Line(budgets::ToJson(SampleCommand())) == kept);
   CHECK(command.kind == budgets::Command::Kind::kReport);
   CHECK(command.member == 1);
   CHECK(command.incarnation == 2);
-  CHECK(command.needs[0].uses == 6 * budgets::kUnit);
+  CHECK(command.demands[0].leased_in_use == 6 * budgets::kUnit);
   CHECK(command.amounts[0].key.scope == "pay/2026-12");
   CHECK(command.members[0].weight == 3);
   CHECK(command.key.rule == 1);
@@ -253,20 +253,20 @@
 TEST_CASE("the kinds of commands to the ledger have their numbers") {
   using Kind = budgets::Command::Kind;
   const std::vector<Kind> in_order = {
-      Kind::kReport,       Kind::kRenew,     Kind::kReturn, Kind::kDraw,   Kind::kSettle,
-      Kind::kGiveBack,     Kind::kSettleFor, Kind::kGrant,  Kind::kExpire, Kind::kMembersChanged,
-      Kind::kWholeChanged, Kind::kFenced,    Kind::kRetire};
+      Kind::kReport,       Kind::kRenew,      Kind::kReturnLeases, Kind::kDraw,   Kind::kSpend,
+      Kind::kReturnAmount, Kind::kSettlement, Kind::kGrant,        Kind::kExpire, Kind::kChangeMembers,
+      Kind::kChangeLimit,  Kind::kFence,      Kind::kRetireKey};
   for (std::size_t i = 0; i < in_order.size(); ++i) CHECK(static_cast<std::size_t>(in_order[i]) == i);
 }
 
 TEST_CASE("what a member has kept of its floors is taken up, and saved again with the same bytes") {
   const std::string kept = Kept("budget_part.json");
-  CHECK(Line(SamplePart().Save()) == kept);
-  const budgets::Part part(SampleBudgets(), {1, 4, true, json::parse(kept)}, kBudgetStart);
+  CHECK(Line(SamplePart().SaveState()) == kept);
+  const budgets::MemberShare part(SampleBudgets(), {1, 4, true, json::parse(kept)}, kBudgetStart);
   CHECK(part.version() == 2);
   json later = json::parse(kept);
   later["incarnation"] = 4;  // of the start that takes it up
-  CHECK(part.Save() == later);
+  CHECK(part.SaveState() == later);
 }
 
 // --- The books of a member
@@ -274,19 +274,20 @@
 TEST_CASE("kept books of spending are taken up, and written again with the same bytes") {
   const std::string kept = Kept("spending_books.json");
   CHECK(Line(SampleBooks()) == kept);
-  const spending::Deployment deployment = spending::Five(1);
-  spending::Spending books(spending::ReadPlan(spending::File(), "f", deployment), deployment, nullptr);
+  const spending::Deployment deployment = spending::TestDeployment(1);
+  spending::SpendingController books(spending::ParsePlan(spending::TestPlan(), "f", deployment), deployment,
+                                     nullptr);
   books.Restore(json::parse(kept));
   CHECK(Line(books.Snapshot()) == kept);
-  const spending::Account* account = books.AccountOf(0, books.MonthNow(0));
+  const spending::Account* account = books.FindAccount(0, books.CurrentMonth(0));
   REQUIRE(account != nullptr);
   const json document = json::parse(kept), month = document["teams"][0]["accounts"][0];
-  CHECK(spending::MonthName(books.MonthNow(0)) == month["month"]);
+  CHECK(spending::FormatMonth(books.CurrentMonth(0)) == month["month"]);
   CHECK(account->cap() == month["cap"]);
   CHECK(account->epoch() == month["epoch"]);
-  CHECK(account->pool().out == month["pool"][0]);
-  CHECK(books.GiveBack().size() == document["returns"].size());
-  CHECK(books.GiveBack().at(1).amount == document["returns"][0]["amount"]);
+  CHECK(account->pool().drawn == month["pool"][0]);
+  CHECK(books.PendingReturns().size() == document["returns"].size());
+  CHECK(books.PendingReturns().at(1).amount == document["returns"][0]["amount"]);
 }
 
 }  // namespace
