--- a/src/clients/client_admission.cpp
+++ b/src/clients/client_admission.cpp
@@ -63,7 +63,7 @@
 // client open to send completions on: the newest, since its client is likely to keep it longest. New requests
 // on it are rejected, since otherwise it might never become idle.
 void ClientFrontend::SelectCompletionConnection() {
-  const bool completions_expected = events_->RunningTasks() > 0 || completions_.pending() > 0;
+  const bool completions_expected = events_->RunningTaskCount() > 0 || completions_.pending_count() > 0;
   const bool needed = accept_mode_ == AcceptMode::kDraining && completions_expected;
   const ClientConnection* current = connections_.Get(completion_connection_);
   if (needed && current != nullptr && !current->IsClosing()) return;
--- a/src/clients/client_completions.cpp
+++ b/src/clients/client_completions.cpp
@@ -20,8 +20,8 @@
 // The connection that the task was requested on; null if it is closed or closing, or has left this completion
 // unconfirmed.
 ClientConnection* ClientFrontend::FindRequestConnection(const CompletionQueue::Completion& completion) {
-  if (completion.origin_connection == completion.unresponsive_connection) return nullptr;
-  ClientConnection* client = connections_.Get(completion.origin_connection);
+  if (completion.client_connection == completion.unresponsive_connection) return nullptr;
+  ClientConnection* client = connections_.Get(completion.client_connection);
   return client != nullptr && !client->IsClosing() ? client : nullptr;
 }
 
@@ -37,7 +37,7 @@
 }
 
 void ClientFrontend::MarkServed(ClientConnection* client) {
-  if (client->OnServed() && completions_.pending() > 0) SendPendingCompletions();
+  if (client->OnServed() && completions_.pending_count() > 0) SendPendingCompletions();
 }
 
 // False if there is no suitable connection at the moment.
@@ -92,7 +92,7 @@
 // request connection is open can be sent.
 void ClientFrontend::SendPendingCompletions() {
   bool no_connection = false;
-  for (const CompletionQueue::Completion& completion : completions_.Pending()) {
+  for (const CompletionQueue::Completion& completion : completions_.PendingCompletions()) {
     const bool has_request_connection = FindRequestConnection(completion) != nullptr;
     if (no_connection && !has_request_connection) continue;
     if (!TrySendCompletion(completion) && !has_request_connection) no_connection = true;
@@ -101,7 +101,8 @@
 
 std::vector<std::pair<TaskId, TaskEnd>> ClientFrontend::RemainingCompletions(bool all) const {
   std::vector<std::pair<TaskId, TaskEnd>> remaining;
-  for (const CompletionQueue::Completion& completion : all ? completions_.All() : completions_.Pending()) {
+  for (const CompletionQueue::Completion& completion :
+       all ? completions_.AllCompletions() : completions_.PendingCompletions()) {
     const bool completed = static_cast<Cause>(completion.cause) == Cause::kEnded;
     remaining.emplace_back(completion.task, completed ? TaskEnd::kCompleted : TaskEnd::kAborted);
   }
--- a/src/dispatch/node_events.cpp
+++ b/src/dispatch/node_events.cpp
@@ -1,4 +1,4 @@
-// What nodes report of attempts, tasks and checks.
+// Dispatcher: reports of nodes about attempts, tasks and checks.
 #include "dispatch/dispatcher.h"
 #include "net/counters.h"
 
@@ -6,54 +6,55 @@
 
 using scheduling::Outcome;
 
-Dispatcher::Request* Dispatcher::FindAttempt(TaskId id, AttemptId attempt) {
+Dispatcher::Request* Dispatcher::FindRequestByAttempt(TaskId id, AttemptId attempt) {
   Request* request = FindRequest(id);
   if (request == nullptr || !HasOpenAttempt(request->state)) return nullptr;
-  return request->attempt == attempt ? request : nullptr;
+  return request->attempt_id == attempt ? request : nullptr;
 }
 
 AttemptPermission Dispatcher::CheckAttemptAllowed(TaskId id, AttemptId attempt) {
-  Request* request = FindAttempt(id, attempt);
+  Request* request = FindRequestByAttempt(id, attempt);
   if (request == nullptr || !IsUnanswered(request->state)) return AttemptPermission::kDenied;
-  if (clients_->IsClientWaiting(request->client_connection, &request->read_by))
+  if (clients_->IsClientWaiting(request->client_connection, &request->required_read_position))
     return AttemptPermission::kGranted;
   ++counters.attempts_postponed;
-  return AttemptPermission::kAskAgain;
+  return AttemptPermission::kRetryLater;
 }
 
 void Dispatcher::OnAttemptAccepted(NodeId node, TaskId id, AttemptId attempt, std::string_view description) {
-  if (zone_failover_ != nullptr) zone_failover_->Answered(node, loop_->Now());
-  Request* request = FindAttempt(id, attempt);
-  if (request == nullptr) {  // it was cancelled
+  if (zone_failover_ != nullptr) zone_failover_->RecordReply(node, loop_->Now());
+  Request* request = FindRequestByAttempt(id, attempt);
+  if (request == nullptr) {  // the attempt was cancelled
     ++counters.node_replies_unmatched;
     return;
   }
   const Handle handle = handle_by_task_.at(id);
   ++counters.node_acceptances;
-  if (zone_failover_ != nullptr) zone_failover_->AttemptOver(node, true);
+  if (zone_failover_ != nullptr) zone_failover_->RecordAttemptEnd(node, true);
   loop_->Cancel(request->timer);
   if (IsUnanswered(request->state)) ++request->counters->fulfilled;
   Transition(request, RequestEvent::kAttemptAccepted);
   clients_->SendAccepted(request->client_connection, id, description);
   clients_->SetTaskRunning(request->client_connection, true);
   nodes_->SetTaskRunning(node, id, true);
-  HandleEvent(scheduling::TaskAccepted{handle, request->attempts - 1, node, loop_->Now() - request->sent});
+  HandleEvent(scheduling::TaskAccepted{handle, request->attempt_count - 1, node,
+                                       loop_->Now() - request->attempt_started_at});
 }
 
 void Dispatcher::ReportAttemptToZoneFailover(NodeId node, const Request& request, const NodeReply& reply) {
   if (zone_failover_ == nullptr) return;
   if (reply.attempt_outcome == Outcome::kNoConnection) {
-    zone_failover_->Unanswered(node, request.sent);
+    zone_failover_->RecordUnanswered(node, request.attempt_started_at);
   } else if (reply.attempt_outcome != Outcome::kAborted) {
-    zone_failover_->Answered(node, loop_->Now());
+    zone_failover_->RecordReply(node, loop_->Now());
   } else if (reply.task_outcome != Outcome::kAborted) {
-    zone_failover_->Spoke(node, loop_->Now());
+    zone_failover_->RecordReport(node, loop_->Now());
   }
-  zone_failover_->AttemptOver(node, reply.attempt_outcome == Outcome::kRefused);
+  zone_failover_->RecordAttemptEnd(node, reply.attempt_outcome == Outcome::kRefused);
 }
 
 void Dispatcher::OnAttemptEnded(NodeId node, TaskId id, AttemptId attempt, const NodeReply& reply) {
-  Request* request = FindAttempt(id, attempt);
+  Request* request = FindRequestByAttempt(id, attempt);
   if (request == nullptr) {
     ++counters.node_replies_unmatched;
     return;
@@ -64,8 +65,8 @@
     EndAttempt(handle, request, reply.attempt_outcome, reply.reason, reply.report);
     return;
   }
-  // A short task can complete while it is still being started. It is not tried again at another node, which
-  // would only report the same: the client and the scheduler learn that it is over.
+  // A short task can complete before the node has accepted it. It is not retried, since another node would
+  // report the same: its completion is reported to the client and the scheduler.
   const Handle client_connection = request->client_connection;
   const bool unanswered = IsUnanswered(request->state);
   if (unanswered) ++request->counters->faulted;
@@ -76,7 +77,8 @@
 
 void Dispatcher::OnTaskEnded(NodeId node, TaskId id, const NodeReply& reply) {
   const Outcome outcome = reply.task_outcome;
-  if (zone_failover_ != nullptr && outcome != Outcome::kAborted) zone_failover_->Spoke(node, loop_->Now());
+  if (zone_failover_ != nullptr && outcome != Outcome::kAborted)
+    zone_failover_->RecordReport(node, loop_->Now());
   Request* request = FindRequest(id);
   if (request == nullptr || !HasRunningTask(request->state) || request->node != node) {
     ++counters.node_replies_unmatched;
@@ -93,9 +95,10 @@
 
 void Dispatcher::OnTaskReport(NodeId node, TaskId id, scheduling::TaskReportKind kind, double level) {
   const Request* request = FindRequest(id);
-  if (zone_failover_ != nullptr) zone_failover_->Spoke(node, loop_->Now());
+  if (zone_failover_ != nullptr) zone_failover_->RecordReport(node, loop_->Now());
   if (request == nullptr || !IsAssigned(request->state) || request->node != node) return;
-  HandleEvent(scheduling::TaskReported{handle_by_task_.at(id), request->attempts - 1, node, kind, level});
+  HandleEvent(
+      scheduling::TaskReported{handle_by_task_.at(id), request->attempt_count - 1, node, kind, level});
 }
 
 void Dispatcher::OnHealthCheckResult(NodeId node, Outcome outcome, Time duration,
@@ -108,9 +111,9 @@
   if (zone_failover_ == nullptr) return;
   const Time now = loop_->Now();
   if (outcome == Outcome::kOk) {
-    zone_failover_->Answered(node, now);
+    zone_failover_->RecordReply(node, now);
   } else {
-    zone_failover_->Unanswered(node, now - duration);
+    zone_failover_->RecordUnanswered(node, now - duration);
   }
 }
 
--- a/src/nodes/connection_lifecycle.cpp
+++ b/src/nodes/connection_lifecycle.cpp
@@ -166,13 +166,13 @@
   failure_detection::FailureDetector& detector = record->failure_detector;
   bool dead = refused && (detector.RecordRefusedDial(dialed_at) || record->running_tasks.empty());
   const bool is_watched = std::ranges::find(leaving_nodes_, node) != leaving_nodes_.end();
-  if (detector.leaving() && !is_watched) leaving_nodes_.push_back(node);
+  if (detector.is_leaving() && !is_watched) leaving_nodes_.push_back(node);
   for (const Handle handle : record->connections) {
     NodeConnection* other = connections_.Get(handle);
     if (other->IsDialing()) continue;
     const bool was_suspect = other->IsSuspect();
     const bool received_since_dial = other->last_received_at >= dialed_at;
-    if (refused && detector.leaving() && !received_since_dial && !was_suspect) {
+    if (refused && detector.is_leaving() && !received_since_dial && !was_suspect) {
       // A leaving node may stop listening before its process ends: check on an established connection.
       dead = false;
       if (other->transport->up()) CheckProcessLiveness(node, record, other);
--- a/src/nodes/node_connection_pool.h
+++ b/src/nodes/node_connection_pool.h
@@ -81,7 +81,7 @@
     ForwardedPayload payload;
     Time deadline;  // when the dispatcher stops waiting for the reply
   };
-  struct DeferredAttempt {  // CheckAttemptAllowed returned kAskAgain: the client's connection is read first
+  struct DeferredAttempt {  // CheckAttemptAllowed returned kRetryLater: the client's connection is read first
     NodeId node;
     QueuedAttempt queued;
   };
