--- a/include/scheduling/settings.h
+++ b/include/scheduling/settings.h
@@ -1,6 +1,7 @@
 // Basic types of the scheduling interface and the settings of a scheduler. Types only, without behaviour.
-// All times and durations are nanoseconds of the caller's event clock. Cores and memory are in the units of
-// the installation's settings; memory may be in any unit that is used consistently.
+// All times and durations are nanoseconds of the caller's event clock, by which it passes `now` to the
+// scheduler. Cores and memory are in the units of the installation's settings; memory may be in any unit that
+// is used consistently.
 #pragma once
 
 #include <cstdint>
@@ -56,8 +57,8 @@
   std::vector<TenantSettings> tenants;
   std::vector<double> kind_cores;       // cores of a node, by node kind; at least one kind
   std::vector<double> kind_memory;      // memory of a node, by node kind
-  double mean_cores = 1;                // cores requested by the mean task
-  double mean_memory = 1;               // memory requested by the mean task
+  double mean_cores = 1;                // mean of the cores that a task requests
+  double mean_memory = 1;               // mean of the memory that a task requests
   double cores_overcommit = 1;          // a node accepts requests for this multiple of its cores
   double memory_overcommit = 1;         // a node accepts requests for this multiple of its memory
   bool accepted_means_running = false;  // otherwise the program of an accepted task may still have to start
@@ -78,7 +79,7 @@
   Time subscription_timeout = 0;  // time within which a subscription must be established; 0: no limit
   Time slow_start_duration = 0;
   double slow_start_initial_speed = 1;  // initial speed of a started node, as a share of its full speed
-  Time overload_window = 0;
+  Time overload_window = 0;             // the window of slow_start_sends
   Time drain_grace = 0;
   Time max_retry_after = 0;      // longest Retry-After that clients follow; 0: none is sent
   double over_quota_weight = 1;  // factor on the value of a request whose tenant is over its quota
--- a/src/backfill/reservations.cpp
+++ b/src/backfill/reservations.cpp
@@ -37,8 +37,8 @@
 }
 
 std::size_t Backfill::ReservationLimit() const {
-  const double all = parameters_.max_reserved_fraction * static_cast<double>(nodes_.size());
-  const auto per_member = static_cast<std::size_t>(all / std::max(parameters_.members, 1));
+  const double limit_of_all_members = parameters_.max_reserved_fraction * static_cast<double>(nodes_.size());
+  const auto per_member = static_cast<std::size_t>(limit_of_all_members / std::max(parameters_.members, 1));
   return std::clamp<std::size_t>(per_member, 1,
                                  static_cast<std::size_t>(std::max(parameters_.max_reservations, 1)));
 }
@@ -79,16 +79,16 @@
   };
   std::vector<PredictedEnd> ends;
   StartPrediction prediction;
-  // The number of tasks that must have ended determines the quantile of each, and the quantile determines the
-  // number; a few iterations bring them into agreement.
+  // The number of tasks that must have ended determines the quantile at which the remaining time of each is
+  // taken, and the quantile determines the number; a few iterations bring them into agreement.
   for (std::size_t needed = 1, round = 0; round < 4; ++round) {
-    const double each = std::pow(quantile, 1.0 / static_cast<double>(needed));
+    const double task_quantile = std::pow(quantile, 1.0 / static_cast<double>(needed));
     ends.clear();
     for (const scheduling::RequestId id : entry.tasks) {
       const RunningTask& running = running_tasks_.at(id);
       if (running.task.id == task.id) continue;
-      const Time left = predictor_->Remaining(running.task, now - running.since, each, now);
-      ends.push_back({now + std::max<Time>(left, 0), id, &running.task});
+      const Time remaining = predictor_->Remaining(running.task, now - running.since, task_quantile, now);
+      ends.push_back({now + std::max<Time>(remaining, 0), id, &running.task});
     }
     std::ranges::sort(ends);
     double cores = entry.state.cores - entry.used_cores, memory = entry.state.memory - entry.used_memory;
@@ -111,8 +111,9 @@
   std::optional<StartPrediction> best;
   NodeId best_node = 0;
   auto it = nodes_.lower_bound(waiting->next_node);
-  const auto searched = std::min(nodes_.size(), static_cast<std::size_t>(parameters_.nodes_per_search));
-  for (std::size_t i = 0; i < searched; ++i, ++it) {
+  const auto nodes_to_search =
+      std::min(nodes_.size(), static_cast<std::size_t>(parameters_.nodes_per_search));
+  for (std::size_t i = 0; i < nodes_to_search; ++i, ++it) {
     if (it == nodes_.end()) it = nodes_.begin();
     if (!CanReserve(it->first, it->second, waiting->task, now)) continue;
     const std::optional<StartPrediction> prediction =
@@ -222,9 +223,9 @@
 
 std::vector<std::string> Backfill::Update(Time now) {
   if (last_decay_ > 0) {
-    const double remaining = std::exp2(-static_cast<double>(now - last_decay_) /
-                                       static_cast<double>(parameters_.correction_halving_period));
-    for (double& each : log_corrections_) each *= remaining;
+    const double decay_factor = std::exp2(-static_cast<double>(now - last_decay_) /
+                                          static_cast<double>(parameters_.correction_halving_period));
+    for (double& each : log_corrections_) each *= decay_factor;
   }
   last_decay_ = now;
   std::vector<NodeId> reserved;
@@ -252,7 +253,9 @@
       if (now >= r.expected_start && !HasCapacity(nodes_.at(node), r.task)) {
         PostponeReservation(&r, now);
       } else if (now - r.created >= parameters_.max_reservation_time) {
-        PostponeReservation(&r, now);  // the capacity is free, but the task was not started
+        // Reserved for too long: the expected start is still ahead, or the capacity is free but the task was
+        // not started.
+        PostponeReservation(&r, now);
       }
     }
   }
--- a/src/clients/client_frontend.cpp
+++ b/src/clients/client_frontend.cpp
@@ -13,8 +13,9 @@
 using protocol::Message;
 
 constexpr Time kTimeoutCheckInterval = 250 * kMs;
-// During shutdown, the first request of a client is waited for until this time after its connect.
-constexpr Time kFirstMessageGrace = 200 * kMs;
+// During shutdown, the first valid request of a client is waited for until this time after its connection was
+// accepted.
+constexpr Time kFirstRequestGrace = 200 * kMs;
 // Time within which simultaneous resets of several connections have all been processed.
 constexpr Time kResetBatchDelay = 10 * kMs;
 
@@ -45,8 +46,8 @@
   if (connections_.size() > max_connections_) EvictConnection();
 }
 
-// Limits the system calls to one per connection and loop iteration, since many connections may be accepted in
-// one iteration. Input that was found unread stays unread until a later iteration.
+// Makes no further system call for a connection whose input was found unread in this loop iteration, since
+// many connections may be accepted in one iteration. Such input stays unread until a later iteration.
 bool ClientFrontend::HasUnreadInput(ClientConnection* client) {
   if (client->unread_in_iteration == loop_->turn()) return true;
   if (!client->transport->Unread()) return false;
@@ -76,8 +77,8 @@
   loop_->After(kTimeoutCheckInterval, [this] { CheckTimeouts(); });
 }
 
-// Queued replies are still sent to the client; its unanswered requests are cancelled. A release of a running
-// task that the client has sent before it sees the close is still read.
+// Queued replies are still sent to the client; its unanswered requests are cancelled. With Rest::kReadOn, a
+// release of a running task that the client has sent before it sees the close is still read.
 void ClientFrontend::CloseGracefully(Handle handle, Connection::Rest rest) {
   ClientConnection* client = connections_.Get(handle);
   if (client == nullptr || client->IsClosing()) return;
@@ -96,7 +97,7 @@
   loop_->DestroyLater(std::move(client->transport));
   connections_.Erase(handle);
   for (const TaskId id : unanswered) events_->OnClientDisconnected(id, handle);
-  // A completion that was sent while the client closed the connection was not read: it is sent again.
+  // A completion that was sent on the connection and not confirmed may not have been read: it is sent again.
   const std::size_t requeued = completions_.OnConnectionLost(handle);
   counters.completions_resent += requeued;
   // The delay avoids sending the completions to one connection after another while all of them are being
@@ -125,7 +126,7 @@
 void ClientFrontend::OnEnd(Connection& transport, Ending) { RemoveConnection(transport.tag); }
 
 // Pending completions are ignored if no client is connected, since they cannot be sent. False while the first
-// message of a client that has just connected may be in flight.
+// valid request of a client that has just connected may be in flight.
 bool ClientFrontend::IsQuiescent() {
   const Time now = loop_->Now();
   bool quiescent = true;
@@ -135,10 +136,10 @@
     quiescent = quiescent && transport.flushed() && !transport.BackedUp();
     if (client.IsClosing()) return;
     any_connected = true;
-    const bool first_message_due =
-        !client.HasSentValidRequest() && now - client.connected_at < kFirstMessageGrace;
+    const bool first_request_expected =
+        !client.HasSentValidRequest() && now - client.connected_at < kFirstRequestGrace;
     const bool in_message = transport.unfinished_since > 0;
-    quiescent = quiescent && !first_message_due && !in_message && !transport.Unread();
+    quiescent = quiescent && !first_request_expected && !in_message && !transport.Unread();
   });
   return quiescent && (completions_.pending_count() == 0 || !any_connected);
 }
--- a/src/dispatch/node_events.cpp
+++ b/src/dispatch/node_events.cpp
@@ -1,4 +1,4 @@
-// Dispatcher: reports of nodes about attempts, tasks and checks.
+// Dispatcher: reports of nodes about attempts and tasks, and results of health checks.
 #include "dispatch/dispatcher.h"
 #include "net/counters.h"
 
--- a/src/estimates/run_time_estimator.cpp
+++ b/src/estimates/run_time_estimator.cpp
@@ -193,8 +193,8 @@
   MixedCurve mixed{.run_time = &CurveFor(task, Key::kSize, false, true, now)};
   if (task.expected_duration <= 0) return mixed;
   // Computing the ratio curve may evict the sketch that holds the run-time curve, hence the copy.
-  uncached_[kRunTime] = *mixed.run_time;
-  mixed.run_time = &uncached_[kRunTime];
+  temporary_curves_[kRunTime] = *mixed.run_time;
+  mixed.run_time = &temporary_curves_[kRunTime];
   mixed.ratio = &CurveFor(task, Key::kSize, true, true, now);
   const auto width = [](const SurvivalCurve& curve) {
     return 1.0 + curve.QuantileBucket(0.9) - curve.QuantileBucket(0.1);
--- a/src/estimates/run_time_estimator.h
+++ b/src/estimates/run_time_estimator.h
@@ -24,20 +24,20 @@
 // 0.1 to 0.9) of the run-time curve and of the ratio curve. Uninformative declarations have a wider ratio
 // distribution than the run times themselves and so get little weight.
 //
-// Replication: a cell is the complete state of one key at one incarnation of one member, with a version of
-// that member. Of two copies of a cell the one with the higher version wins. The order is total, so that
-// duplicated, late and reordered messages have no effect, a lost one is made up for by the next, and members
-// that have received the same cells hold the same state. Cells of different origins are never added up in
-// storage, only in queries and in integers; aging (weights shifted right by the age of the cell in epochs)
-// and merging therefore commute exactly. A restarted member begins a new incarnation; the cells of the
-// previous one stay and age, but its running tasks no longer count.
+// Replication: a cell is the complete state of one key at one incarnation of one member, with a version
+// number that this member assigned. Of two copies of a cell the one with the higher version wins. The order
+// is total, so that duplicated, late and reordered messages have no effect, a lost one is made up for by the
+// next, and members that have received the same cells hold the same state. Cells of different origins are
+// never added up in storage, only in queries, and as integers; aging (weights shifted right by the age of the
+// cell in epochs) and merging therefore commute exactly. A restarted member begins a new incarnation; the
+// cells of the previous one stay and age, but its running tasks no longer count.
 //
 // Faulty or malicious members: the weight of one member in a key is limited to half of the weight of all
 // others, or to `uncapped_member_weight` observations if that is more. Among honest members it thus has at
 // most a third of the weight, and where it is the only source the coarser key still has influence. Buckets
-// that do not exist, weights over the limit, epochs in the future and excess cells are clamped or dropped,
-// and counted. The caller checks that the sender, as given by the transport, is the member named in a
-// message.
+// that do not exist, weights over BucketCounts::kMost, epochs in the future and excess cells are clamped or
+// dropped, and counted. The caller checks that the sender, as given by the transport, is the member named in
+// a message.
 #pragma once
 
 #include <array>
@@ -123,7 +123,7 @@
   // Records the run time of a task that OnTaskStarted was not called for.
   void RecordRunTime(const Task& task, Time run_time, Outcome outcome, Time now);
 
-  // --- Queries: of the task, the class, tenant, service, cores and expected duration are used ---
+  // --- Queries: they use the class, tenant, service, cores and expected duration of the task ---
   // The run time within which the fraction `quantile` of such tasks completes. The relative error against the
   // weighted observations is at most LogBuckets::kError.
   Time Quantile(const Task& task, double quantile, Time now);
@@ -131,7 +131,7 @@
   double RemainingSeconds(const Task& task, Time elapsed, double quantile, Time now);
   // The probability that a task that has run for `elapsed` runs for longer than a further `duration`.
   double SurvivalProbability(const Task& task, Time elapsed, Time duration, Time now);
-  // The weight of the key of this level in observations, after aging, with those of other members.
+  // How many observations the task's key at `level` has after aging, those of other members included.
   double ObservationWeight(const Task& task, Key::Level level, Time now);
 
   // --- Replication ---
@@ -210,7 +210,7 @@
   struct MixedCurve {
     const SurvivalCurve* run_time = nullptr;
     const SurvivalCurve* ratio = nullptr;
-    double ratio_weight = 0, ratio_scale = 1;
+    double ratio_weight = 0, ratio_scale = 1;  // ratio_scale: nanoseconds per unit of the ratio curve
     double SurvivalPast(double duration) const;
   };
   MixedCurve MixedCurveFor(const Task& task, Time now);
@@ -218,7 +218,7 @@
   Parameters parameters_;
   std::uint32_t member_;
   std::uint64_t incarnation_;
-  std::uint64_t version_ = 0;
+  std::uint64_t version_ = 0;  // the latest that was assigned to an own cell
   std::map<Key, Sketch> sketches_;
   NumberMap<scheduling::RequestId, RunningTask> running_tasks_;
   std::priority_queue<BucketChange, std::vector<BucketChange>, std::greater<>> bucket_changes_;
@@ -226,7 +226,8 @@
   std::uint32_t last_sequence_ = 0;
   std::uint64_t last_use_ = 0;
   LimitCounters limit_counters_;
-  std::array<SurvivalCurve, kScaleCount> prior_, uncached_;
+  // temporary_curves_: curves of a query that no sketch holds, or whose sketch it may evict.
+  std::array<SurvivalCurve, kScaleCount> prior_, temporary_curves_;
 };
 
 }  // namespace cluster_manager::estimates
--- a/src/estimates/run_time_queries.cpp
+++ b/src/estimates/run_time_queries.cpp
@@ -99,7 +99,7 @@
   if (counts.total <= 0) return prior;
   const SurvivalCurve curve = EstimateSurvival(counts, prior, parameters_.prior_weight);
   Sketch* sketch = FindOrCreateSketch(key, now);
-  if (sketch == nullptr) return uncached_[scale] = curve;
+  if (sketch == nullptr) return temporary_curves_[scale] = curve;
   sketch->curve_time = now;
   sketch->curve_version = sketch->version;
   return sketch->curve = curve;
--- a/src/estimates/survival_curve.cpp
+++ b/src/estimates/survival_curve.cpp
@@ -10,31 +10,32 @@
   const int bucket = LogBuckets::Of(static_cast<Time>(std::min(duration, 9e18)));
   const auto lower = static_cast<double>(LogBuckets::Lower(bucket));
   const auto upper = static_cast<double>(LogBuckets::Upper(bucket));
-  const double part = std::clamp((duration - lower) / (upper - lower), 0.0, 1.0);
+  const double fraction_of_bucket = std::clamp((duration - lower) / (upper - lower), 0.0, 1.0);
   return SurvivalPastBucket(bucket - 1) +
-         part * (SurvivalPastBucket(bucket) - SurvivalPastBucket(bucket - 1));
+         fraction_of_bucket * (SurvivalPastBucket(bucket) - SurvivalPastBucket(bucket - 1));
 }
 
 int SurvivalCurve::QuantileBucket(double q) const {
   // `survival` never rises. The tolerance covers values that only rounding keeps above 1 - q.
-  const auto it = std::ranges::find_if(survival, [q](double left) { return left <= 1 - q + 1e-12; });
+  const auto it =
+      std::ranges::find_if(survival, [q](double surviving) { return surviving <= 1 - q + 1e-12; });
   return static_cast<int>(std::min<std::ptrdiff_t>(it - survival.begin(), LogBuckets::kBuckets - 1));
 }
 
 SurvivalCurve LogUniformCurve(Time from, Time to) {
-  constexpr double kTail = 0.01;
+  constexpr double kTailFraction = 0.01;
   const int first = LogBuckets::Of(from), last = LogBuckets::Of(to);
   SurvivalCurve curve;
   for (int i = 0; i < LogBuckets::kBuckets; ++i) {
-    double left = 0;
+    double surviving = 0;
     if (i < first) {
-      left = 1 - kTail * (i + 1) / first;
+      surviving = 1 - kTailFraction * (i + 1) / first;
     } else if (i <= last) {
-      left = 1 - kTail - (1 - 2 * kTail) * (i - first + 1) / (last - first + 1);
+      surviving = 1 - kTailFraction - (1 - 2 * kTailFraction) * (i - first + 1) / (last - first + 1);
     } else {
-      left = kTail * (LogBuckets::kBuckets - 1 - i) / (LogBuckets::kBuckets - 1 - last);
+      surviving = kTailFraction * (LogBuckets::kBuckets - 1 - i) / (LogBuckets::kBuckets - 1 - last);
     }
-    curve.survival[static_cast<std::size_t>(i)] = left;
+    curve.survival[static_cast<std::size_t>(i)] = surviving;
   }
   curve.survival.back() = 0;
   return curve;
@@ -43,13 +44,13 @@
 SurvivalCurve EstimateSurvival(const ObservationCounts& counts, const SurvivalCurve& prior,
                                double prior_weight) {
   SurvivalCurve curve;
-  double at_risk = counts.total, left = 1;
+  double at_risk = counts.total, surviving = 1;
   for (std::size_t i = 0; i < curve.survival.size(); ++i) {
-    const double before = prior.SurvivalPastBucket(static_cast<int>(i) - 1);
-    const double risk = at_risk + prior_weight * before;
-    const double completed = counts.completed[i] + prior_weight * (before - prior.survival[i]);
-    left = risk <= 0 ? 0 : left * std::max(0.0, 1 - completed / risk);
-    curve.survival[i] = left;
+    const double prior_before = prior.SurvivalPastBucket(static_cast<int>(i) - 1);
+    const double weight_at_risk = at_risk + prior_weight * prior_before;
+    const double completed = counts.completed[i] + prior_weight * (prior_before - prior.survival[i]);
+    surviving = weight_at_risk <= 0 ? 0 : surviving * std::max(0.0, 1 - completed / weight_at_risk);
+    curve.survival[i] = surviving;
     at_risk = std::max(0.0, at_risk - counts.completed[i] - counts.censored[i]);
   }
   curve.survival.back() = 0;
--- a/src/failure_detection/failure_detector.cpp
+++ b/src/failure_detection/failure_detector.cpp
@@ -22,13 +22,13 @@
 
 void FailureDetector::RecordProbe(Time now) {
   last_probe_ = std::max(last_probe_, now);
-  if (first_contact_ == 0) first_contact_ = now;
+  if (first_probe_or_refusal_ == 0) first_probe_or_refusal_ = now;
 }
 
 bool FailureDetector::RecordRefusedDial(Time dialed_at) {
   if (last_traffic_ > 0) return true;
   refused_before_traffic_ = true;
-  if (first_contact_ == 0) first_contact_ = dialed_at;
+  if (first_probe_or_refusal_ == 0) first_probe_or_refusal_ = dialed_at;
   RecordUnanswered(dialed_at);
   return false;
 }
@@ -47,7 +47,7 @@
 }
 
 bool FailureDetector::IsPresumedStopped(Time now) const {
-  const Time silent_since = last_traffic_ > 0 ? last_traffic_ : first_contact_;
+  const Time silent_since = last_traffic_ > 0 ? last_traffic_ : first_probe_or_refusal_;
   return is_leaving() && now - silent_since >= kPresumedStoppedAfter &&
          last_unanswered_ - first_unanswered_ >= kMinUnansweredSpan;
 }
--- a/src/failure_detection/failure_detector.h
+++ b/src/failure_detection/failure_detector.h
@@ -5,7 +5,7 @@
 // ends tasks according to its verdicts. Has no clock, socket or thread of its own; its memory does not
 // grow.
 //
-//             listed as draining       probe unanswered         silent for
+//             listed as draining       probe unanswered         silent for kPresumedStoppedAfter
 //   serving --------------------> leaving ------------> silent ----------> presumed stopped
 //      ^                             ^                     |                      |
 //      +-----------------------------+--- any traffic -----+----------------------+ (tasks that were reported
@@ -24,10 +24,11 @@
 // within 8 s. A silent node is therefore dialed repeatedly: once its process has died, the dial is refused.
 // Waiting for a reset of the established connection is not sufficient, since the reset may never arrive.
 //
-// Duration of a wrong verdict:
-//   Presumed stopped, but only disconnected: requires a network fault of at least kPresumedStoppedAfter since
-//     the last traffic and of kMinUnansweredSpan. Clients are then notified that tasks have ended which the
-//     drain was about to end anyway; these are stopped when traffic from the node arrives again.
+// Wrong verdicts, when they are possible and how long they last:
+//   Presumed stopped, but only disconnected: requires a network fault that lasts for at least
+//     kPresumedStoppedAfter after the last traffic, and unanswered probes during it whose first and last are
+//     at least kMinUnansweredSpan apart. Clients are then notified that tasks have ended which the drain was
+//     about to end anyway; these are stopped when traffic from the node arrives again.
 //   Leaving, but already stopped: kPresumedStoppedAfter after the last traffic or, if the last traffic
 //     precedes the stop, kProbeAfterSilence + kMinUnansweredSpan after the stop. Including the duration of a
 //     health check and the interval of the periodic evaluation, at most 7.75 s; 8 s are allowed.
@@ -63,10 +64,11 @@
   void RecordProbe(Time now);
   // A health check or dial that was started at `sent_at` timed out.
   void RecordUnanswered(Time sent_at);
-  // A dial was refused. Returns true if that proves the death of the process, which requires earlier
-  // traffic from the node. A cluster manager that has just started and claimed running tasks may find the
-  // listener of a leaving node closed before the endpoint list reports the drain; it then treats the node
-  // as leaving until traffic from it arrives.
+  // A dial was refused. Returns whether there was any earlier traffic from the node, without which this does
+  // not prove the death of the process. For a leaving node the caller first checks an established connection,
+  // if there is one. A cluster manager that has just started and claimed running tasks may find the listener
+  // of a leaving node closed before the endpoint list reports the drain; it then treats the node as leaving
+  // until traffic from it arrives.
   bool RecordRefusedDial(Time dialed_at);
 
   // Draining, or a dial was refused before any traffic.
@@ -79,7 +81,8 @@
   bool ShouldProbe(Time now) const;
   // Whether the process is presumed stopped, and its tasks with it.
   bool IsPresumedStopped(Time now) const;
-  // For a removed node: when its last messages have arrived at the latest.
+  // For a removed node: the time by which its last messages have arrived, kRemovalGracePeriod after its last
+  // traffic.
   Time GracePeriodEnd(Time now) const;
 
  private:
@@ -88,7 +91,7 @@
   bool refused_before_traffic_ = false;  // a dial was refused, and no traffic has arrived since or before
   Time last_traffic_ = 0;
   Time last_probe_ = 0;
-  Time first_contact_ = 0;  // the first probe or refused dial
+  Time first_probe_or_refusal_ = 0;  // 0: none
   // Start times of the first and last unanswered probe since the last traffic; 0: none.
   Time first_unanswered_ = 0;
   Time last_unanswered_ = 0;
--- a/src/membership/heartbeats.cpp
+++ b/src/membership/heartbeats.cpp
@@ -57,7 +57,8 @@
   return heartbeat;
 }
 
-// `sent_at`: when the heartbeat of that sequence was sent, by this member's clock, as far as is known.
+// `sent_at`: when the heartbeat with the number `sequence` was sent, by this member's clock, as far as is
+// known.
 void Membership::RecordLiveness(MemberId member, Incarnation incarnation, std::uint64_t sequence,
                                 Time sent_at, Time now) {
   MemberRecord& record = records_.at(member);
@@ -66,7 +67,8 @@
     const bool restarted = incarnation.number > record.incarnation.number;
     if (record.state == State::kDead && !restarted) ++counters_.false_deaths;
     if (restarted) {
-      // Another process: the links and intervals of the previous one do not apply to it.
+      // Another process: what was recorded about the previous one, such as whom it hears and the intervals of
+      // its heartbeats, does not apply to it.
       const State state = record.state;
       const Time state_since = record.state_since;
       record = MemberRecord{};
@@ -117,19 +119,20 @@
 }
 
 void Membership::RecordDirectHeartbeat(const Heartbeat& heartbeat, MemberRecord* record, Time now) {
-  constexpr double kWeight = 0.1;
+  constexpr double kSmoothingFactor = 0.1;
   if (record->heard_at > 0 && now > record->heard_at) {
     const double interval =
         std::min(static_cast<double>(now - record->heard_at), 10.0 * static_cast<double>(PairInterval()));
     if (record->interval_mean == 0) record->interval_mean = static_cast<double>(PairInterval());
     record->interval_deviation +=
-        kWeight * (std::abs(interval - record->interval_mean) - record->interval_deviation);
-    record->interval_mean += kWeight * (interval - record->interval_mean);
+        kSmoothingFactor * (std::abs(interval - record->interval_mean) - record->interval_deviation);
+    record->interval_mean += kSmoothingFactor * (interval - record->interval_mean);
   }
   record->heard_at = now;
   record->last_sent_at = std::max(record->last_sent_at, now);
   record->direct_sequence = heartbeat.sequence;
-  // The four times of a round trip: own heartbeat sent and received, the sender's one sent and received.
+  // The four times of a round trip: when this member's heartbeat was sent and received, and when the sender's
+  // heartbeat was sent and received.
   if (heartbeat.echo_sent_at > 0) {
     const Time round_trip = (now - heartbeat.echo_sent_at) - (heartbeat.sent_at - heartbeat.echo_received_at);
     const Time offset =
@@ -137,7 +140,7 @@
     if (round_trip >= 0) {
       record->clock_samples[record->clock_sample_count % record->clock_samples.size()] = {offset, round_trip};
       ++record->clock_sample_count;
-      // Kept below twice the size of the ring buffer, so that it never overflows.
+      // The count is kept below twice the size of the ring buffer, so that the count never overflows.
       if (record->clock_sample_count == 2 * record->clock_samples.size())
         record->clock_sample_count = record->clock_samples.size();
     }
@@ -154,8 +157,8 @@
     if (view.member == self_) {
       // Whether the sender hears an earlier incarnation of this member does not matter.
       hears_self = view.heard_by_sender && view.incarnation.number == incarnation_.number;
-      const bool refute = view.state == State::kSuspected || view.state == State::kDead;
-      if (refute && view.incarnation >= incarnation_ && !leaving_) {
+      const bool suspects_self = view.state == State::kSuspected || view.state == State::kDead;
+      if (suspects_self && view.incarnation >= incarnation_ && !leaving_) {
         ++incarnation_.refutations;
         ++counters_.refutations;
       }
@@ -170,13 +173,13 @@
     if (view.state != State::kUnknown)
       RecordLiveness(view.member, view.incarnation, view.sequence, sent_at, now);
     if (view.incarnation == record.incarnation) {
-      // Relayed by a member that received the announcement: others may not have.
+      // The sender knows that the member announced that it leaves; this member may not have received that.
       if (view.state == State::kLeft && record.state != State::kLeft && view.sequence >= record.sequence)
         SetState(view.member, &record, State::kLeft, now,
                  "announced to member " + std::to_string(heartbeat.from));
       const bool suspects = view.state == State::kSuspected || view.state == State::kDead;
       if (suspects && view.sequence <= record.sequence) record.suspected_by[heartbeat.from] = now;
-      // The sender relays that the member hears this one.
+      // The sender relays that the member of the view hears this member.
       if (view.hears_receiver && sent_at > record.hears_self_at) {
         record.hears_self = true;
         record.hears_self_at = sent_at;
--- a/src/spending/calendar.cpp
+++ b/src/spending/calendar.cpp
@@ -14,7 +14,7 @@
 
 Seconds UnixTimeOf(std::chrono::sys_days day) { return day.time_since_epoch().count() * kDay; }
 // The first midnight of the month in local time, read as if it were UTC.
-Seconds Midnight(Month month) {
+Seconds FirstMidnightAsUtc(Month month) {
   return UnixTimeOf(sys_days{std::chrono::year{month / 12} / static_cast<int>(month % 12 + 1) / 1});
 }
 int YearOf(Seconds at) {
@@ -60,14 +60,15 @@
     if (position - start < 3) return Fail("a zone name of three letters or more");
     return !quoted || Consume('>') || Fail("'>'");
   }
-  bool ReadOffset(int max_hours, int* seconds) {  // [+-]hh[:mm[:ss]]
+  // [+-]hh[:mm[:ss]]: an offset, or the local time of a transition.
+  bool ReadSignedTime(int max_hours, int* seconds) {
     const int sign = Consume('-') ? -1 : 1;
     if (sign == 1) Consume('+');
-    int hours = 0, minutes = 0, secs = 0;
+    int hours = 0, minutes = 0, seconds_part = 0;
     if (!ReadNumber(0, max_hours, &hours)) return false;
-    if (Consume(':') && (!ReadNumber(0, 59, &minutes) || (Consume(':') && !ReadNumber(0, 59, &secs))))
+    if (Consume(':') && (!ReadNumber(0, 59, &minutes) || (Consume(':') && !ReadNumber(0, 59, &seconds_part))))
       return false;
-    *seconds = sign * (hours * 3600 + minutes * 60 + secs);
+    *seconds = sign * (hours * 3600 + minutes * 60 + seconds_part);
     return true;
   }
 };
@@ -81,9 +82,9 @@
 }
 
 std::optional<Month> ParseMonth(const std::string& text) {
-  int year = 0, month = 0, read = 0;
-  if (text.size() != 7 || std::sscanf(text.c_str(), "%4d-%2d%n", &year, &month, &read) != 2 || read != 7 ||
-      year < 1970 || month < 1 || month > 12)
+  int year = 0, month = 0, characters_read = 0;
+  if (text.size() != 7 || std::sscanf(text.c_str(), "%4d-%2d%n", &year, &month, &characters_read) != 2 ||
+      characters_read != 7 || year < 1970 || month < 1 || month > 12)
     return std::nullopt;
   return year * 12 + month - 1;
 }
@@ -103,11 +104,11 @@
 }
 
 std::optional<Seconds> ParseInstant(const std::string& text) {
-  int year = 0, month = 0, day = 0, hour = 0, minute = 0, second = 0, read = 0;
+  int year = 0, month = 0, day = 0, hour = 0, minute = 0, second = 0, characters_read = 0;
   if (text.size() != 20 ||
       std::sscanf(text.c_str(), "%4d-%2d-%2dT%2d:%2d:%2dZ%n", &year, &month, &day, &hour, &minute, &second,
-                  &read) != 6 ||
-      read != 20)
+                  &characters_read) != 6 ||
+      characters_read != 20)
     return std::nullopt;
   const auto date = std::chrono::year{year} / month / day;
   if (!date.ok() || year < 1970 || hour > 23 || minute > 59 || second > 59 || hour < 0 || minute < 0 ||
@@ -119,15 +120,15 @@
 std::optional<TimeZone> TimeZone::Parse(const std::string& text, std::string* error) {
   TimeZone zone;
   RuleReader reader{text, error};
-  int west = 0;
-  if (!reader.SkipZoneName() || !reader.ReadOffset(24, &west)) return std::nullopt;
-  zone.standard_offset_ = -west;
+  int seconds_west = 0;
+  if (!reader.SkipZoneName() || !reader.ReadSignedTime(24, &seconds_west)) return std::nullopt;
+  zone.standard_offset_ = -seconds_west;
   if (reader.position == text.size()) return zone;
   if (!reader.SkipZoneName()) return std::nullopt;
   zone.daylight_offset_ = zone.standard_offset_ + 3600;
   if (reader.position < text.size() && text[reader.position] != ',') {
-    if (!reader.ReadOffset(24, &west)) return std::nullopt;
-    zone.daylight_offset_ = -west;
+    if (!reader.ReadSignedTime(24, &seconds_west)) return std::nullopt;
+    zone.daylight_offset_ = -seconds_west;
   }
   for (Transition* transition : {&zone.daylight_begins_, &zone.daylight_ends_}) {
     if (!reader.Consume(',') || !reader.Consume('M')) {
@@ -140,7 +141,7 @@
       reader.Fail("a transition such as \",M3.5.0/2\": month, week, day of the week, local time");
       return std::nullopt;
     }
-    if (reader.Consume('/') && !reader.ReadOffset(167, &transition->time)) return std::nullopt;
+    if (reader.Consume('/') && !reader.ReadSignedTime(167, &transition->time)) return std::nullopt;
   }
   if (reader.position != text.size()) {
     reader.Fail("the end");
@@ -150,7 +151,7 @@
   return zone;
 }
 
-// The instant of the transition in this year.
+// The instant of the transition to or from daylight time in `year`.
 Seconds TimeZone::TransitionTime(int year, bool to_daylight_time) const {
   const Transition& transition = to_daylight_time ? daylight_begins_ : daylight_ends_;
   const std::chrono::weekday day{static_cast<unsigned>(transition.day)};
@@ -172,20 +173,21 @@
 }
 
 Seconds TimeZone::MonthStart(Month month) const {
-  const Seconds midnight = Midnight(month);
-  if (!has_daylight_time_) return midnight - standard_offset_;
-  // Local time reaches the midnight either while one offset is in force, or at a transition that skips it.
-  std::vector<Seconds> candidates{midnight - standard_offset_, midnight - daylight_offset_};
+  const Seconds first_midnight = FirstMidnightAsUtc(month);
+  if (!has_daylight_time_) return first_midnight - standard_offset_;
+  // Local time reaches the midnight by one of the two offsets, or at a transition that skips the midnight.
+  std::vector<Seconds> candidates{first_midnight - standard_offset_, first_midnight - daylight_offset_};
   for (int year = month / 12 - 1; year <= month / 12 + 1; ++year) {
     candidates.push_back(TransitionTime(year, true));
     candidates.push_back(TransitionTime(year, false));
   }
   std::ranges::sort(candidates);
   for (const Seconds candidate : candidates) {
-    if (candidate + OffsetAt(candidate) >= midnight && candidate - 1 + OffsetAt(candidate - 1) < midnight)
+    if (candidate + OffsetAt(candidate) >= first_midnight &&
+        candidate - 1 + OffsetAt(candidate - 1) < first_midnight)
       return candidate;
   }
-  return midnight - standard_offset_;  // unreachable: local time passes every midnight
+  return first_midnight - standard_offset_;  // unreachable: local time passes every midnight
 }
 
 Month TimeZone::MonthAt(Seconds at) const {
