--- a/src/consensus/follower.cpp
+++ b/src/consensus/follower.cpp
@@ -1,16 +1,17 @@
-// What a leader sends, taken in.
+// Handling of AppendEntries and snapshots from the leader, commit index and log compaction.
 #include <algorithm>
 #include <utility>
 
-#include "consensus/agreement.h"
+#include "consensus/raft.h"
 
 namespace cluster_manager::consensus {
 
-void Agreement::OnAppend(const Message& message) {
+void RaftNode::OnAppendEntries(const Message& message) {
   for (const Entry& entry : message.entries) {
-    // A member list that cannot be read would let this member count otherwise than its leader.
-    if (entry.kind == EntryKind::kMembers && !DecodeMembers(entry.bytes, terms_.bounds.members)) {
-      ++counters_.refused_bytes;
+    // With a member list that it cannot decode, this member would count majorities differently from the
+    // leader.
+    if (entry.kind == EntryKind::kMembers && !DecodeMembers(entry.bytes, options_.bounds.max_members)) {
+      ++counters_.undecodable;
       return;
     }
   }
@@ -18,90 +19,93 @@
   Index prev = message.index;
   Term prev_term = message.log_term;
   std::size_t skip = 0;
-  if (prev < log_.base()) {  // committed, so equal
-    skip = std::min<std::size_t>(message.entries.size(), log_.base() - prev);
+  if (prev < log_.base_index()) {  // these entries are committed, so they match
+    skip = std::min<std::size_t>(message.entries.size(), log_.base_index() - prev);
     prev += skip;
-    prev_term = prev == log_.base() ? log_.snapshot().term : prev_term;
+    prev_term = prev == log_.base_index() ? log_.snapshot().term : prev_term;
   }
-  if (prev >= log_.base() && log_.TermAt(prev) != prev_term) {
-    Message answer = Make(MessageKind::kMismatch, to);
+  if (prev >= log_.base_index() && log_.TermAt(prev) != prev_term) {
+    Message answer = MakeMessage(MessageKind::kAppendRejected, to);
     answer.round = message.round;
-    answer.index = log_.last();
-    if (const std::optional<Term> other = log_.TermAt(prev)) {
-      answer.index = prev - 1;  // and what else is of that term: one round for each term, not each entry
-      while (answer.index > commit_ && log_.TermAt(answer.index) == other) --answer.index;
+    answer.index = log_.last_index();
+    if (const std::optional<Term> conflicting_term = log_.TermAt(prev)) {
+      answer.index =
+          prev - 1;  // skips the whole conflicting term: one request per term instead of one per entry
+      while (answer.index > commit_index_ && log_.TermAt(answer.index) == conflicting_term) --answer.index;
     }
-    return SendSaved(std::move(answer));
+    return SendOnceDurable(std::move(answer));
   }
   Index match = prev;
-  std::vector<Entry> fresh;
+  std::vector<Entry> new_entries;
   for (std::size_t i = skip; i < message.entries.size(); ++i) {
     const Entry& entry = message.entries[i];
-    if (fresh.empty() && match < log_.last() && log_.TermAt(match + 1) == entry.term) {
+    if (new_entries.empty() && match < log_.last_index() && log_.TermAt(match + 1) == entry.term) {
       ++match;
       continue;
     }
-    if (fresh.empty() && match + 1 <= commit_) return;  // would change what is committed: no sound leader
-    if (match - log_.base() >= terms_.most_log) {
+    if (new_entries.empty() && match + 1 <= commit_index_)
+      return;  // would overwrite a committed entry: the leader is faulty
+    if (match - log_.base_index() >= options_.max_log_entries) {
       ++counters_.log_full;
       break;
     }
-    fresh.push_back(entry);
+    new_entries.push_back(entry);
     ++match;
   }
-  const Index first = match - fresh.size() + 1;
-  Append(std::move(fresh), first);
-  CommitTo(std::min(message.commit, match));
-  Message answer = Make(MessageKind::kHave, to);
+  const Index first = match - new_entries.size() + 1;
+  ReplaceLogFrom(std::move(new_entries), first);
+  AdvanceCommitIndex(std::min(message.commit_index, match));
+  Message answer = MakeMessage(MessageKind::kAppendAccepted, to);
   answer.index = match;
   answer.round = message.round;
-  SendSaved(std::move(answer));
+  SendOnceDurable(std::move(answer));
 }
 
-void Agreement::OnSnapshot(const Message& message) {
-  Message answer = Make(MessageKind::kHave, {message.from, message.from_identity});
+void RaftNode::OnInstallSnapshot(const Message& message) {
+  Message answer = MakeMessage(MessageKind::kAppendAccepted, {message.from, message.from_identity});
   answer.round = message.round;
-  answer.index = commit_;
-  if (message.index > commit_) {
-    const bool kept = log_.Install({message.index, message.log_term, message.members, message.state});
-    if (!kept) {
+  answer.index = commit_index_;
+  if (message.index > commit_index_) {
+    const bool log_kept =
+        log_.InstallSnapshot({message.index, message.log_term, message.members, message.state});
+    if (!log_kept) {
       saved_index_ = 0;
-      for (auto& [ticket, index] : saving_) index = 0;
+      for (auto& [ticket, index] : being_saved_) index = 0;
     }
     out_->records.snapshot = log_.snapshot();
-    out_->records.whole = !kept;
+    out_->records.replaces_log = !log_kept;
     out_->restored = log_.snapshot();
-    commit_ = applied_ = answer.index = message.index;
+    commit_index_ = last_applied_ = answer.index = message.index;
   }
-  SendSaved(std::move(answer));
+  SendOnceDurable(std::move(answer));
 }
 
-void Agreement::CommitTo(Index index) {
-  if (index <= commit_) return;
-  commit_ = index;
-  for (; applied_ < commit_; ++applied_) {
-    const Index at = applied_ + 1;
-    const Entry& entry = log_.At(at);
+void RaftNode::AdvanceCommitIndex(Index index) {
+  if (index <= commit_index_) return;
+  commit_index_ = index;
+  for (; last_applied_ < commit_index_; ++last_applied_) {
+    const Index at = last_applied_ + 1;
+    const Entry& entry = log_.EntryAt(at);
     if (entry.kind != EntryKind::kCommand) continue;
     out_->committed.push_back({at, entry.term, entry.bytes});
-    const auto proposal = proposals_.find(at);
-    if (proposal == proposals_.end()) continue;
-    out_->answers.push_back({proposal->second, Result::kCommitted, at});
-    proposals_.erase(proposal);
+    const auto proposal = pending_proposals_.find(at);
+    if (proposal == pending_proposals_.end()) continue;
+    out_->proposal_outcomes.push_back({proposal->second, ProposalResult::kCommitted, at});
+    pending_proposals_.erase(proposal);
   }
-  out_->want_snapshot = log_.size() >= terms_.compact_after;
+  out_->snapshot_requested = log_.size() >= options_.snapshot_threshold;
 }
 
-Output Agreement::Compact(Bytes state, Time now) {
+Output RaftNode::Compact(Bytes state, Time now) {
   Output out;
-  Begin(&out, now);
-  if (state.size() > terms_.bounds.state_bytes) {
+  BeginOutput(&out, now);
+  if (state.size() > options_.bounds.max_state_bytes) {
     ++counters_.state_too_long;
-  } else if (applied_ > log_.base()) {
-    log_.Compact(applied_, std::move(state));
+  } else if (last_applied_ > log_.base_index()) {
+    log_.Compact(last_applied_, std::move(state));
     out.records.snapshot = log_.snapshot();
   }
-  End();
+  FinishOutput();
   return out;
 }
 
--- a/src/consensus/message.cpp
+++ b/src/consensus/message.cpp
@@ -7,13 +7,14 @@
 namespace {
 
 using nlohmann::json;
-constexpr std::uint64_t kFormat = 0x57724101;  // "WrA", version 1
-constexpr std::uint32_t kMostNumber = 0xFFFF;
+constexpr std::uint64_t kFormatVersion = 0x57724101;  // "WrA" and the version, 1
+constexpr std::uint32_t kMaxMemberNumber = 0xFFFF;
 
-// Whether it is one array of numbers and byte strings of stated length, nothing in it longer than the bytes
-// there are. The library's reader recurses for nested arrays and for chunks of strings of unknown length,
-// without a bound, so it only gets to see what passes here.
-bool Flat(const Bytes& bytes, std::size_t most_items) {
+// Whether `bytes` are exactly one CBOR array of at most `max_items` unsigned integers and byte strings of
+// definite length, none of them longer than the input. The parser of nlohmann::json recurses without a bound
+// for nested arrays and for strings of indefinite length, so only input that passes this check is given to
+// it.
+bool IsFlatArray(const Bytes& bytes, std::size_t max_items) {
   std::size_t at = 0;
   std::uint64_t items = 0;
   std::uint64_t seen = 0;
@@ -31,7 +32,7 @@
       for (std::size_t i = 0; i < length; ++i) value = value << 8 | bytes[at++];
     }
     if (head) {
-      if (major != 4 || value > most_items) return false;
+      if (major != 4 || value > max_items) return false;
       items = value;
       continue;
     }
@@ -43,40 +44,41 @@
   return at == bytes.size();
 }
 
-// Takes the values of a flat array one after the other; once one is not as wanted, all that follow are empty.
+// Reads the values of a flat array in order. After the first value of a wrong type or out of bounds, all
+// further reads return 0 or nothing and good() is false.
 class Reader {
  public:
-  Reader(const Bytes& bytes, std::size_t most_items) {
-    if (Flat(bytes, most_items)) all_ = json::from_cbor(bytes, true, false);
-    good_ = all_.is_array();
+  Reader(const Bytes& bytes, std::size_t max_items) {
+    if (IsFlatArray(bytes, max_items)) array_ = json::from_cbor(bytes, true, false);
+    good_ = array_.is_array();
   }
-  std::uint64_t Number(std::uint64_t most = ~std::uint64_t{0}) {
-    const json* value = Next();
-    if (value == nullptr || !value->is_number_unsigned() || value->get<std::uint64_t>() > most) {
+  std::uint64_t ReadNumber(std::uint64_t max = ~std::uint64_t{0}) {
+    const json* value = NextValue();
+    if (value == nullptr || !value->is_number_unsigned() || value->get<std::uint64_t>() > max) {
       good_ = false;
       return 0;
     }
     return value->get<std::uint64_t>();
   }
-  Bytes String(std::size_t most) {
-    const json* value = Next();
-    if (value == nullptr || !value->is_binary() || value->get_binary().size() > most) {
+  Bytes ReadBytes(std::size_t max) {
+    const json* value = NextValue();
+    if (value == nullptr || !value->is_binary() || value->get_binary().size() > max) {
       good_ = false;
       return {};
     }
     return value->get_binary();
   }
   bool good() const { return good_; }
-  bool Whole() const { return good_ && at_ == all_.size(); }
+  bool AtEnd() const { return good_ && position_ == array_.size(); }
 
  private:
-  const json* Next() { return good_ && at_ < all_.size() ? &all_[at_++] : nullptr; }
-  json all_;
-  std::size_t at_ = 0;
+  const json* NextValue() { return good_ && position_ < array_.size() ? &array_[position_++] : nullptr; }
+  json array_;
+  std::size_t position_ = 0;
   bool good_ = false;
 };
 
-void Put(const std::vector<Member>& members, json* out) {
+void AppendMembers(const std::vector<Member>& members, json* out) {
   out->push_back(members.size());
   for (const Member& member : members) {
     out->push_back(member.number);
@@ -85,14 +87,14 @@
   }
 }
 
-std::vector<Member> TakeMembers(Reader* in, std::size_t most) {
+std::vector<Member> ReadMembers(Reader* reader, std::size_t max) {
   std::vector<Member> members;
-  const std::uint64_t count = in->Number(most);
-  for (std::uint64_t i = 0; i < count && in->good(); ++i) {
+  const std::uint64_t count = reader->ReadNumber(max);
+  for (std::uint64_t i = 0; i < count && reader->good(); ++i) {
     Member member;
-    member.number = static_cast<std::uint32_t>(in->Number(kMostNumber));
-    member.identity = in->Number();
-    member.voter = in->Number(1) == 1;
+    member.number = static_cast<std::uint32_t>(reader->ReadNumber(kMaxMemberNumber));
+    member.identity = reader->ReadNumber();
+    member.voter = reader->ReadNumber(1) == 1;
     members.push_back(member);
   }
   return members;
@@ -101,66 +103,67 @@
 }  // namespace
 
 Bytes EncodeMembers(const std::vector<Member>& members) {
-  json all = json::array();
-  Put(members, &all);
-  return json::to_cbor(all);
+  json array = json::array();
+  AppendMembers(members, &array);
+  return json::to_cbor(array);
 }
 
-std::optional<std::vector<Member>> DecodeMembers(const Bytes& bytes, std::size_t most) {
-  Reader in(bytes, 1 + 3 * most);
-  std::vector<Member> members = TakeMembers(&in, most);
-  if (!in.Whole()) return std::nullopt;
+std::optional<std::vector<Member>> DecodeMembers(const Bytes& bytes, std::size_t max) {
+  Reader reader(bytes, 1 + 3 * max);
+  std::vector<Member> members = ReadMembers(&reader, max);
+  if (!reader.AtEnd()) return std::nullopt;
   return members;
 }
 
-Bytes Encode(const Message& message) {
-  json all = json::array();
+Bytes EncodeMessage(const Message& message) {
+  json array = json::array();
   for (const std::uint64_t number :
-       {kFormat, static_cast<std::uint64_t>(message.kind), message.cluster, message.from_identity,
+       {kFormatVersion, static_cast<std::uint64_t>(message.kind), message.cluster, message.from_identity,
         message.to_identity, std::uint64_t{message.from}, std::uint64_t{message.to}, message.term,
-        message.index, message.log_term, message.commit, message.round}) {
-    all.push_back(number);
+        message.index, message.log_term, message.commit_index, message.round}) {
+    array.push_back(number);
   }
-  all.push_back(message.entries.size());
+  array.push_back(message.entries.size());
   for (const Entry& entry : message.entries) {
-    all.push_back(entry.term);
-    all.push_back(static_cast<std::uint64_t>(entry.kind));
-    all.push_back(json::binary(entry.bytes));
+    array.push_back(entry.term);
+    array.push_back(static_cast<std::uint64_t>(entry.kind));
+    array.push_back(json::binary(entry.bytes));
   }
-  Put(message.members, &all);
-  all.push_back(json::binary(message.state));
-  return json::to_cbor(all);
+  AppendMembers(message.members, &array);
+  array.push_back(json::binary(message.state));
+  return json::to_cbor(array);
 }
 
-std::optional<Message> Decode(const Bytes& bytes, const MessageBounds& bounds) {
-  if (bytes.size() > bounds.message_bytes()) return std::nullopt;
-  Reader in(bytes, 16 + 3 * bounds.entries + 3 * bounds.members);
-  if (in.Number() != kFormat) return std::nullopt;
+std::optional<Message> DecodeMessage(const Bytes& bytes, const MessageBounds& bounds) {
+  if (bytes.size() > bounds.max_message_bytes()) return std::nullopt;
+  Reader reader(bytes, 16 + 3 * bounds.max_entries + 3 * bounds.max_members);
+  if (reader.ReadNumber() != kFormatVersion) return std::nullopt;
   Message message;
-  message.kind = static_cast<MessageKind>(in.Number(kMessageKinds - 1));
-  message.cluster = in.Number();
-  message.from_identity = in.Number();
-  message.to_identity = in.Number();
-  message.from = static_cast<std::uint32_t>(in.Number(kMostNumber));
-  message.to = static_cast<std::uint32_t>(in.Number(kMostNumber));
-  message.term = in.Number();
-  message.index = in.Number();
-  message.log_term = in.Number();
-  message.commit = in.Number();
-  message.round = in.Number();
-  const std::uint64_t entries = in.Number(bounds.entries);
-  for (std::uint64_t i = 0; i < entries && in.good(); ++i) {
+  message.kind = static_cast<MessageKind>(reader.ReadNumber(kMessageKinds - 1));
+  message.cluster = reader.ReadNumber();
+  message.from_identity = reader.ReadNumber();
+  message.to_identity = reader.ReadNumber();
+  message.from = static_cast<std::uint32_t>(reader.ReadNumber(kMaxMemberNumber));
+  message.to = static_cast<std::uint32_t>(reader.ReadNumber(kMaxMemberNumber));
+  message.term = reader.ReadNumber();
+  message.index = reader.ReadNumber();
+  message.log_term = reader.ReadNumber();
+  message.commit_index = reader.ReadNumber();
+  message.round = reader.ReadNumber();
+  const std::uint64_t entries = reader.ReadNumber(bounds.max_entries);
+  for (std::uint64_t i = 0; i < entries && reader.good(); ++i) {
     Entry entry;
-    entry.term = in.Number();
-    entry.kind = static_cast<EntryKind>(in.Number(static_cast<std::uint64_t>(EntryKind::kMembers)));
-    entry.bytes = in.String(bounds.entry_bytes);
+    entry.term = reader.ReadNumber();
+    entry.kind = static_cast<EntryKind>(reader.ReadNumber(static_cast<std::uint64_t>(EntryKind::kMembers)));
+    entry.bytes = reader.ReadBytes(bounds.max_entry_bytes);
     message.entries.push_back(std::move(entry));
   }
-  message.members = TakeMembers(&in, bounds.members);
-  message.state = in.String(bounds.state_bytes);
-  // Numbers a sound sender never reaches would overflow sums of indexes.
-  constexpr std::uint64_t kFar = std::uint64_t{1} << 62;
-  if (!in.Whole() || message.from_identity == 0 || message.index > kFar || message.term > kFar) {
+  message.members = ReadMembers(&reader, bounds.max_members);
+  message.state = reader.ReadBytes(bounds.max_state_bytes);
+  // No correct sender reaches larger numbers, and they would overflow in sums of indexes.
+  constexpr std::uint64_t kMaxIndex = std::uint64_t{1} << 62;
+  if (!reader.AtEnd() || message.from_identity == 0 || message.index > kMaxIndex ||
+      message.term > kMaxIndex) {
     return std::nullopt;
   }
   return message;
--- a/src/consensus/message.h
+++ b/src/consensus/message.h
@@ -1,8 +1,10 @@
-// What members say to each other and what they keep, and its bytes. Values only.
+// The Raft messages between members, the records that a member persists, and their encoding. Value types
+// only.
 //
-// The bytes are one flat CBOR array of numbers and byte strings (written and read by nlohmann's json): no
-// depth, so that nothing of an unknown sender recurses, and a fixed order, so that each value is checked for
-// its kind and bound. Anything else, a byte more or less included, is refused whole.
+// A message is encoded as one flat CBOR array of unsigned integers and byte strings (written and read with
+// nlohmann::json). The array is not nested, so that decoding input from an unknown sender never recurses, and
+// the order is fixed, so that each value is checked for its type and bound. Any other input, including one
+// with a missing or an extra byte, is rejected as a whole.
 #pragma once
 
 #include <cstdint>
@@ -14,81 +16,92 @@
 
 using Time = std::int64_t;  // Unix nanoseconds
 using Bytes = std::vector<std::uint8_t>;
-using Index = std::uint64_t;  // of an entry, from 1 on; 0: none
+using Index = std::uint64_t;  // of a log entry, from 1 on; 0: none
 using Term = std::uint64_t;
-// Of a disk that has been a member's since it was empty: drawn when its first record is made, never 0. All
-// promises (votes, acknowledged entries) are an identity's; the number is only where to find it.
+// Identifies the disk of a member from the time it was empty: drawn at random when its first record is
+// written, never 0. Votes and acknowledged entries belong to the identity; the member number is only an
+// address.
 using Identity = std::uint64_t;
 
 struct Member {
   std::uint32_t number = 0;  // as configured
   Identity identity = 0;
-  bool voter = false;  // else a learner: it is sent all entries, and is never counted
+  bool voter = false;  // otherwise a learner: it receives all entries, but does not count for majorities
   bool operator==(const Member&) const = default;
 };
 
-enum class EntryKind : std::uint8_t { kNothing, kCommand, kMembers };
+// Stored and sent by number: neither numbers nor order may change.
+enum class EntryKind : std::uint8_t {
+  kNoOp,     // appended by a new leader, to commit the entries of earlier terms
+  kCommand,  // for the state machine
+  kMembers   // a new member list
+};
 
 struct Entry {
   Term term = 0;
-  EntryKind kind = EntryKind::kNothing;
-  Bytes bytes;  // the command; the members, by EncodeMembers
+  EntryKind kind = EntryKind::kNoOp;
+  Bytes bytes;  // the command, or the members as encoded by EncodeMembers
   bool operator==(const Entry&) const = default;
 };
 
+// Sent by number: neither numbers nor order may change.
 enum class MessageKind : std::uint8_t {
-  kAskFirst,     // PreVote: would you vote for `term`? Changes nothing at either side
-  kAskFirstYes,  // `term` is the one asked for
-  kAskFirstNo,   // `term` is the answerer's own
-  kAsk,          // RequestVote; index, log_term: of the last entry
-  kAskYes,
-  kAskNo,
-  kAppend,    // entries after (index, log_term); without any it is a heartbeat
-  kHave,      // log equal to the leader's up to `index`, and durable; `round` is the append's
-  kMismatch,  // no entry as the append says; equal at most up to `index`
-  kSnapshot,  // state up to (index, log_term), and the members then; answered by kHave
-  kHello,     // of a member that hears no leader: here I am, with this identity
-  kWhere,     // answer to it by one who does not lead: `index` - 1 is the leader's number, 0: unknown
+  kPreVote,          // asks whether the receiver would vote in `term`; changes no state on either side
+  kPreVoteGranted,   // `term` is the requested term
+  kPreVoteRejected,  // `term` is the term of the sender
+  kRequestVote,      // `index`, `log_term`: the last log entry of the candidate
+  kVoteGranted,
+  kVoteRejected,
+  kAppendEntries,    // the entries after (`index`, `log_term`); a heartbeat if there are none
+  kAppendAccepted,   // the log matches the leader's up to `index` and is durable; `round` is that of the
+                     // request
+  kAppendRejected,   // no entry (`index`, `log_term`) of the request; the logs match at most up to `index`
+  kInstallSnapshot,  // state machine and members up to (`index`, `log_term`); answered by kAppendAccepted
+  kJoinRequest,      // from a member without contact to a leader: announces its identity
+  kLeaderHint,       // a non-leader's answer to kJoinRequest: `index` - 1 is the leader's number; 0: unknown
 };
 constexpr int kMessageKinds = 12;
 
 struct Message {
-  MessageKind kind = MessageKind::kHello;
-  std::uint64_t cluster = 0;                    // drawn at the founding; 0: not yet of any
-  Identity from_identity = 0, to_identity = 0;  // to: 0 where the sender cannot know it
-  std::uint32_t from = 0, to = 0;               // numbers
+  MessageKind kind = MessageKind::kJoinRequest;
+  std::uint64_t cluster = 0;                    // drawn when the cluster is founded; 0: not yet in a cluster
+  Identity from_identity = 0, to_identity = 0;  // to_identity: 0 if the sender does not know it
+  std::uint32_t from = 0, to = 0;               // member numbers
   Term term = 0;
   Index index = 0;
   Term log_term = 0;
-  Index commit = 0;
-  std::uint64_t round = 0;
+  Index commit_index = 0;   // of the leader
+  std::uint64_t round = 0;  // number of a leader's request, repeated in the answer
   std::vector<Entry> entries;
   std::vector<Member> members;  // of a snapshot
   Bytes state;                  // of a snapshot
   bool operator==(const Message&) const = default;
 };
 
+// Upper bounds of one message, in entries, members and bytes.
 struct MessageBounds {
-  std::size_t entries = 64, entry_bytes = 16 << 10, batch_bytes = 256 << 10, members = 128,
-              state_bytes = 1 << 20;
-  std::size_t message_bytes() const {
-    return batch_bytes + entry_bytes + state_bytes + 16 * entries + 20 * members + 256;
+  std::size_t max_entries = 64, max_entry_bytes = 16 << 10, max_batch_bytes = 256 << 10, max_members = 128,
+              max_state_bytes = 1 << 20;
+  // Of an encoded message.
+  std::size_t max_message_bytes() const {
+    return max_batch_bytes + max_entry_bytes + max_state_bytes + 16 * max_entries + 20 * max_members + 256;
   }
 };
 
-Bytes Encode(const Message& message);
-// Nothing where these are not exactly the bytes of a message within the bounds.
-std::optional<Message> Decode(const Bytes& bytes, const MessageBounds& bounds);
+Bytes EncodeMessage(const Message& message);
+// Returns nullopt unless `bytes` are exactly the encoding of one message within the bounds.
+std::optional<Message> DecodeMessage(const Bytes& bytes, const MessageBounds& bounds);
 Bytes EncodeMembers(const std::vector<Member>& members);
-std::optional<std::vector<Member>> DecodeMembers(const Bytes& bytes, std::size_t most);
+// Returns nullopt unless `bytes` are exactly the encoding of at most `max_members` members.
+std::optional<std::vector<Member>> DecodeMembers(const Bytes& bytes, std::size_t max_members);
 
-// What is to be durable. To be written whole or not at all, in the order of the tickets.
-struct State {
+// The persistent state of a member besides its log.
+struct PersistentState {
   Identity identity = 0;
   std::uint64_t cluster = 0;
   Term term = 0;
   Identity vote = 0;  // given in `term`; 0: none
-  bool operator==(const State&) const = default;
+  bool operator==(const PersistentState&) const = default;
 };
 struct Snapshot {
   Index index = 0;
@@ -97,19 +110,22 @@
   Bytes state;
   bool operator==(const Snapshot&) const = default;
 };
+// Changes to be made durable, atomically and in the order of their tickets.
 struct Records {
-  std::optional<State> state;
-  // Entries up to its index are to be forgotten, and all others too where `whole`: it came from a leader.
+  std::optional<PersistentState> state;
+  // Removes the stored entries up to its index, and with `replaces_log` (a snapshot from the leader) all
+  // others.
   std::optional<Snapshot> snapshot;
-  bool whole = false;
-  // To be put at `first`, `first` + 1, ...; what stands at `first` and above before is to be forgotten.
-  Index first = 0;
+  bool replaces_log = false;
+  // Stored at `first_index`, `first_index` + 1, ...; entries stored earlier at these indexes and above are
+  // removed.
+  Index first_index = 0;
   std::vector<Entry> entries;
   bool empty() const { return !state && !snapshot && entries.empty(); }
 };
-// What was durable, as the store read it; an empty one (identity 0) is a new disk.
-struct Durable {
-  State state;
+// The durable records as read back by the store; identity 0 means a new disk.
+struct DurableRecords {
+  PersistentState state;
   Snapshot snapshot;
   std::vector<Entry> entries;  // from snapshot.index + 1 on
 };
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -177,8 +177,8 @@
 
 TEST_CASE("kept bytes of a message between members are read as that message, and written again the same") {
   const consensus::Bytes bytes = KeptOctets("agreement_message.cbor");
-  CHECK(consensus::Decode(bytes, {}) == SampleMessage());
-  CHECK(consensus::Encode(SampleMessage()) == bytes);
+  CHECK(consensus::DecodeMessage(bytes, {}) == SampleMessage());
+  CHECK(consensus::EncodeMessage(SampleMessage()) == bytes);
 }
 
 TEST_CASE("kept bytes of the members, as the store has them, are read and written again the same") {
@@ -190,13 +190,14 @@
 TEST_CASE("the kinds of entries and messages between members have their numbers") {
   using consensus::EntryKind;
   using consensus::MessageKind;
-  CHECK(static_cast<int>(EntryKind::kNothing) == 0);
+  CHECK(static_cast<int>(EntryKind::kNoOp) == 0);
   CHECK(static_cast<int>(EntryKind::kCommand) == 1);
   CHECK(static_cast<int>(EntryKind::kMembers) == 2);
   const std::vector<MessageKind> in_order = {
-      MessageKind::kAskFirst, MessageKind::kAskFirstYes, MessageKind::kAskFirstNo, MessageKind::kAsk,
-      MessageKind::kAskYes,   MessageKind::kAskNo,       MessageKind::kAppend,     MessageKind::kHave,
-      MessageKind::kMismatch, MessageKind::kSnapshot,    MessageKind::kHello,      MessageKind::kWhere};
+      MessageKind::kPreVote,         MessageKind::kPreVoteGranted, MessageKind::kPreVoteRejected,
+      MessageKind::kRequestVote,     MessageKind::kVoteGranted,    MessageKind::kVoteRejected,
+      MessageKind::kAppendEntries,   MessageKind::kAppendAccepted, MessageKind::kAppendRejected,
+      MessageKind::kInstallSnapshot, MessageKind::kJoinRequest,    MessageKind::kLeaderHint};
   for (std::size_t i = 0; i < in_order.size(); ++i) CHECK(static_cast<std::size_t>(in_order[i]) == i);
 }
 
