--- a/src/config_language/diagnostic.h
+++ b/src/config_language/diagnostic.h
@@ -1,4 +1,5 @@
-// What is wrong with a text, where, and what to write instead. Codes are stable: pages and scripts name them.
+// Diagnostics: an error code, where the error is, a message and a proposed fix. Codes are stable, because
+// documents and scripts refer to them.
 #pragma once
 
 #include <string>
@@ -9,16 +10,17 @@
 
 namespace cluster_manager::config_language {
 
+// A further place that belongs to an error.
 struct Note {
-  Span where;
-  std::string text;
+  Span span;
+  std::string message;
 };
 
 struct Diagnostic {
-  std::string_view code;  // of the table below
-  Span where;
-  std::string text;
-  std::string fix;  // what to write; empty where nobody can tell
+  std::string_view code;  // one of Explanations()
+  Span span;
+  std::string message;
+  std::string fix;  // what to write instead; empty if unknown
   std::vector<Note> notes;
 };
 
@@ -26,33 +28,36 @@
   std::string_view code, title, text;
 };
 
-// All codes there are, in order; null for one that there is not.
+// All codes, in order.
 const std::vector<Explanation>& Explanations();
-const Explanation* Explain(std::string_view code);
+// Null if there is no such code.
+const Explanation* FindExplanation(std::string_view code);
 
-// Collects errors up to a bound: past it they are counted and not kept.
+// Collects errors up to a bound; further errors are only counted.
 class Diagnostics {
  public:
-  static constexpr std::size_t kMost = 100;
+  static constexpr std::size_t kMaxDiagnostics = 100;
 
-  Diagnostic& Add(std::string_view code, Span where, std::string text, std::string fix = "");
-  // Those from number `from` on, by their places.
-  void Sort(std::size_t from);
+  // The reference is valid until the next call.
+  Diagnostic& Add(std::string_view code, Span span, std::string message, std::string fix = "");
+  // Sorts the errors from index `from` on by their place.
+  void SortFrom(std::size_t from);
   const std::vector<Diagnostic>& all() const { return all_; }
   std::size_t dropped() const { return dropped_; }
   bool any() const { return !all_.empty(); }
 
  private:
   std::vector<Diagnostic> all_;
-  Diagnostic last_;  // stands in for one that is not kept
+  Diagnostic discarded_;  // returned by Add past the bound
   std::size_t dropped_ = 0;
 };
 
-// As people read it: path:line:column, the line with a caret under the place, the fix, the notes.
+// Formats a diagnostic for people: path:line:column, the source line with a marker below it, the fix and the
+// notes.
 std::string Render(const Diagnostic& diagnostic, const std::vector<Source>& sources);
 
-// The one of `words` that `word` was probably meant to be, or empty. Distance: Damerau and Levenshtein's,
-// restricted.
-std::string_view Nearest(std::string_view word, const std::vector<std::string_view>& words);
+// The most similar of `words`, or empty if none is similar enough, by optimal string alignment (restricted
+// Damerau-Levenshtein) distance. Words of more than 64 bytes match nothing.
+std::string_view ClosestWord(std::string_view word, const std::vector<std::string_view>& words);
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/evaluator.cpp
+++ b/src/config_language/evaluator.cpp
@@ -7,21 +7,21 @@
 namespace cluster_manager::config_language {
 namespace {
 
-using Type = Datum::Type;
+using Type = EvaluatedValue::Type;
 
-std::string Described(const Datum& d) {
+std::string Describe(const EvaluatedValue& d) {
   switch (d.type) {
     case Type::kNumber:
       return std::string(DimensionName(d.dimension));
     case Type::kString:
-      return "a text";
+      return "a string";
     case Type::kName:
       return "the name '" + d.text.substr(0, 40) + "'";
     case Type::kList:
       return "a list";
-    case Type::kTruth:
-      return "true or false";
-    case Type::kBroken:
+    case Type::kBoolean:
+      return "a boolean";
+    case Type::kInvalid:
       break;
   }
   return "nothing";
@@ -47,54 +47,54 @@
   return "a number";
 }
 
-Datum Evaluator::Of(const Value& v) {
-  Datum d;
+EvaluatedValue Evaluator::Evaluate(const Value& v) {
+  EvaluatedValue d;
   d.span = v.span;
   switch (v.kind) {
-    case Kind::kNumber:
+    case ValueKind::kNumber:
       d.type = Type::kNumber;
       d.dimension = v.unit == nullptr ? Dimension::kNone : v.unit->dimension;
       d.number = v.number * (v.unit == nullptr ? 1 : v.unit->scale);
-      d.plain_number = v.unit == nullptr;
+      d.without_unit = v.unit == nullptr;
       return d;
-    case Kind::kString:
+    case ValueKind::kString:
       d.type = Type::kString;
       d.text = v.text;
       return d;
-    case Kind::kName:
-      return Name(v);
-    case Kind::kList:
+    case ValueKind::kName:
+      return EvaluateName(v);
+    case ValueKind::kList:
       d.type = Type::kList;
-      for (const Value& part : v.parts) {
-        d.parts.push_back(Of(part));
-        if (d.parts.back().type == Type::kBroken) d.type = Type::kBroken;
+      for (const Value& part : v.children) {
+        d.elements.push_back(Evaluate(part));
+        if (d.elements.back().type == Type::kInvalid) d.type = Type::kInvalid;
       }
       return d;
-    case Kind::kNegation: {
-      Datum of = Of(v.parts[0]);
-      of.span = v.span;
-      if (of.type == Type::kNumber) {
-        of.number = -of.number;
-      } else if (of.type != Type::kBroken) {
-        diagnostics_->Add("T002", v.span, "a number was expected behind the -, not " + Described(of));
-        of.type = Type::kBroken;
+    case ValueKind::kNegation: {
+      EvaluatedValue operand = Evaluate(v.children[0]);
+      operand.span = v.span;
+      if (operand.type == Type::kNumber) {
+        operand.number = -operand.number;
+      } else if (operand.type != Type::kInvalid) {
+        diagnostics_->Add("T002", v.span, "expected a number after -, found " + Describe(operand));
+        operand.type = Type::kInvalid;
       }
-      return of;
+      return operand;
     }
-    case Kind::kSum:
-      return Sum(v);
-    case Kind::kBroken:
+    case ValueKind::kBinary:
+      return EvaluateBinary(v);
+    case ValueKind::kInvalid:
       break;
   }
   return d;
 }
 
-Datum Evaluator::Name(const Value& v) {
-  Datum d;
+EvaluatedValue Evaluator::EvaluateName(const Value& v) {
+  EvaluatedValue d;
   d.span = v.span;
   if (v.text == "true" || v.text == "false") {
-    d.type = Type::kTruth;
-    d.truth = v.text == "true";
+    d.type = Type::kBoolean;
+    d.boolean = v.text == "true";
     return d;
   }
   const auto constant = program_.constants.find(v.text);
@@ -103,80 +103,80 @@
     d.text = v.text;
     return d;
   }
-  used_.insert(v.text);
-  if (const auto known = known_.find(v.text); known != known_.end()) {
-    d = known->second;
+  used_names_.insert(v.text);
+  if (const auto cached = values_.find(v.text); cached != values_.end()) {
+    d = cached->second;
     d.span = v.span;
     return d;
   }
-  if (const auto before = std::ranges::find(way_, v.text); before != way_.end()) {
+  if (const auto before = std::ranges::find(evaluation_stack_, v.text); before != evaluation_stack_.end()) {
     std::string chain;
-    for (auto it = before; it != way_.end(); ++it) chain += *it + " -> ";
-    diagnostics_->Add("R010", v.span, "constants need each other: " + chain + v.text,
-                      "write one of them as a value");
+    for (auto it = before; it != evaluation_stack_.end(); ++it) chain += *it + " -> ";
+    diagnostics_->Add("R010", v.span, "constants depend on each other: " + chain + v.text,
+                      "replace one of them by a value");
     return d;
   }
-  if (way_.size() >= kMostConstantsDeep) {
+  if (evaluation_stack_.size() >= kMaxConstantDepth) {
     diagnostics_->Add(
         "R011", v.span,
-        "constants need each other over more than " + std::to_string(kMostConstantsDeep) + " steps");
+        "constants depend on each other over more than " + std::to_string(kMaxConstantDepth) + " steps");
     return d;
   }
-  way_.push_back(v.text);
-  d = Of(constant->second.value);
-  way_.pop_back();
-  known_[v.text] = d;
+  evaluation_stack_.push_back(v.text);
+  d = Evaluate(constant->second.value);
+  evaluation_stack_.pop_back();
+  values_[v.text] = d;
   d.span = v.span;
   return d;
 }
 
-Datum Evaluator::Sum(const Value& v) {
-  const Datum left = Of(v.parts[0]);
-  const Datum right = Of(v.parts[1]);
-  Datum d;
+EvaluatedValue Evaluator::EvaluateBinary(const Value& v) {
+  const EvaluatedValue left = Evaluate(v.children[0]);
+  const EvaluatedValue right = Evaluate(v.children[1]);
+  EvaluatedValue d;
   d.span = v.span;
-  if (left.type == Type::kBroken || right.type == Type::kBroken) return d;
-  for (const Datum* side : {&left, &right}) {
+  if (left.type == Type::kInvalid || right.type == Type::kInvalid) return d;
+  for (const EvaluatedValue* side : {&left, &right}) {
     if (side->type == Type::kNumber) continue;
-    diagnostics_->Add("T002", side->span, "a number was expected, not " + Described(*side));
+    diagnostics_->Add("T002", side->span, "expected a number, found " + Describe(*side));
     return d;
   }
-  const bool sum = v.sign == '+' || v.sign == '-';
-  if (sum ? left.dimension != right.dimension
-          : left.dimension != Dimension::kNone && right.dimension != Dimension::kNone &&
-                !(v.sign == '/' && left.dimension == right.dimension)) {
+  const bool additive = v.operation == '+' || v.operation == '-';
+  if (additive ? left.dimension != right.dimension
+               : left.dimension != Dimension::kNone && right.dimension != Dimension::kNone &&
+                     !(v.operation == '/' && left.dimension == right.dimension)) {
     diagnostics_->Add("T001", v.span,
-                      Described(left) + " and " + Described(right) + " do not go together with " + v.sign,
-                      right.plain_number || left.plain_number ? "write the unit behind the number" : "");
+                      Describe(left) + " and " + Describe(right) + " cannot be combined with " + v.operation,
+                      right.without_unit || left.without_unit ? "add a unit to the number" : "");
     return d;
   }
-  if (v.sign == '/' && right.dimension != Dimension::kNone && left.dimension == Dimension::kNone) {
-    diagnostics_->Add("T001", v.span, "a plain number cannot be divided by " + Described(right));
+  if (v.operation == '/' && right.dimension != Dimension::kNone && left.dimension == Dimension::kNone) {
+    diagnostics_->Add("T001", v.span, "a plain number cannot be divided by " + Describe(right));
     return d;
   }
-  if (v.sign == '/' && right.number == 0) {
-    diagnostics_->Add("T003", right.span, "this is 0: nothing can be divided by it");
+  if (v.operation == '/' && right.number == 0) {
+    diagnostics_->Add("T003", right.span, "division by 0");
     return d;
   }
   d.type = Type::kNumber;
   d.dimension = left.dimension == Dimension::kNone ? right.dimension : left.dimension;
-  if (v.sign == '/' && left.dimension == right.dimension) d.dimension = Dimension::kNone;
-  d.number = v.sign == '+'   ? left.number + right.number
-             : v.sign == '-' ? left.number - right.number
-             : v.sign == '*' ? left.number * right.number
-                             : left.number / right.number;
-  d.plain_number = left.plain_number && right.plain_number;
+  if (v.operation == '/' && left.dimension == right.dimension) d.dimension = Dimension::kNone;
+  d.number = v.operation == '+'   ? left.number + right.number
+             : v.operation == '-' ? left.number - right.number
+             : v.operation == '*' ? left.number * right.number
+                                  : left.number / right.number;
+  d.without_unit = left.without_unit && right.without_unit;
   if (!std::isfinite(d.number)) {
-    diagnostics_->Add("T003", v.span, "this is more than a number can be");
-    d.type = Type::kBroken;
+    diagnostics_->Add("T003", v.span, "the result is too large");
+    d.type = Type::kInvalid;
   }
   return d;
 }
 
-std::vector<const Statement*> Evaluator::Unused() const {
+std::vector<const Statement*> Evaluator::UnusedConstants() const {
   std::vector<const Statement*> all;
   for (const auto& [name, statement] : program_.constants) {
-    if (!used_.contains(name)) all.push_back(&statement);
+    if (!used_names_.contains(name)) all.push_back(&statement);
   }
   return all;
 }
--- a/src/config_language/evaluator.h
+++ b/src/config_language/evaluator.h
@@ -1,5 +1,5 @@
-// Values worked out: constants put in, sums done, units checked. No arithmetic between unlike units; a plain
-// number goes with any unit in products.
+// Evaluates expressions: substitutes constants, does arithmetic and checks units. Quantities of different
+// dimensions are never combined; in products and quotients a plain number goes with any quantity.
 #pragma once
 
 #include <map>
@@ -11,40 +11,43 @@
 
 namespace cluster_manager::config_language {
 
-struct Datum {
-  enum class Type { kNumber, kString, kName, kList, kTruth, kBroken } type = Type::kBroken;
+struct EvaluatedValue {
+  enum class Type { kNumber, kString, kName, kList, kBoolean, kInvalid } type = Type::kInvalid;
   Dimension dimension = Dimension::kNone;
-  double number = 0;  // in ms, cores, bytes, per second, or as a share
-  std::string text;   // of a string, or the name of something that is no constant
-  bool truth = false;
-  std::vector<Datum> parts;
+  double number = 0;  // in ms, cores, bytes, per second, or as a share of 1
+  std::string text;   // of a string, or a name that is not a constant
+  bool boolean = false;
+  std::vector<EvaluatedValue> elements;  // of a list
   Span span;
-  bool plain_number = false;  // written without a unit
+  bool without_unit = false;  // a number written without a unit
 };
 
-constexpr std::size_t kMostConstantsDeep = 64;
+constexpr std::size_t kMaxConstantDepth = 64;
 
+// Evaluates values of one program, which must outlive it, as must the diagnostics that it adds errors to.
 class Evaluator {
  public:
   Evaluator(const Program& program, Diagnostics* diagnostics)
       : program_(program), diagnostics_(diagnostics) {}
 
-  // Names that are no constants stay names: what they may mean is for who asks.
-  Datum Of(const Value& value);
-  // Constants that nobody used, in order.
-  std::vector<const Statement*> Unused() const;
+  // A name that is not a constant stays a name; its meaning is up to the caller. After an error the result is
+  // kInvalid.
+  EvaluatedValue Evaluate(const Value& value);
+  // Constants that no evaluated value has used, in order of their names.
+  std::vector<const Statement*> UnusedConstants() const;
 
  private:
-  Datum Name(const Value& value);
-  Datum Sum(const Value& value);
+  EvaluatedValue EvaluateName(const Value& value);
+  EvaluatedValue EvaluateBinary(const Value& value);
 
   const Program& program_;
   Diagnostics* diagnostics_;
-  std::map<std::string, Datum> known_;
-  std::vector<std::string> way_;
-  std::set<std::string> used_;
+  std::map<std::string, EvaluatedValue> values_;  // of constants evaluated so far
+  std::vector<std::string> evaluation_stack_;     // names of the constants being evaluated, to detect cycles
+  std::set<std::string> used_names_;
 };
 
+// For messages, with its article: "a duration".
 std::string_view DimensionName(Dimension dimension);
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/formatter.cpp
+++ b/src/config_language/formatter.cpp
@@ -5,7 +5,7 @@
 namespace cluster_manager::config_language {
 namespace {
 
-std::string Quoted(const std::string& text) {
+std::string Quote(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
     if (c == '"' || c == '\\') out += '\\';
@@ -24,121 +24,129 @@
   return true;
 }
 
-int Rank(const Value& v) { return v.kind != Kind::kSum ? 3 : v.sign == '+' || v.sign == '-' ? 1 : 2; }
+int Precedence(const Value& v) {
+  return v.kind != ValueKind::kBinary ? 3 : v.operation == '+' || v.operation == '-' ? 1 : 2;
+}
 
 bool HasComments(const Value& v) {
-  return !v.before.empty() || !v.beside.empty() || !v.at_end.empty() ||
-         std::ranges::any_of(v.parts, HasComments);
+  return !v.leading_comments.empty() || !v.trailing_comment.empty() || !v.closing_comments.empty() ||
+         std::ranges::any_of(v.children, HasComments);
 }
 
-// Comments inside of a value that is written on one line: they go above it.
-void Inside(const Value& v, std::vector<std::string>* to) {
-  for (const Value& part : v.parts) {
-    for (const Remark& remark : part.before) to->push_back(remark.text);
-    Inside(part, to);
-    if (!part.beside.empty()) to->push_back(part.beside);
+// Collects the comments inside a value that is written on one line; they are written above it.
+void CollectInnerComments(const Value& v, std::vector<std::string>* comments) {
+  for (const Value& part : v.children) {
+    for (const AttachedComment& comment : part.leading_comments) comments->push_back(comment.text);
+    CollectInnerComments(part, comments);
+    if (!part.trailing_comment.empty()) comments->push_back(part.trailing_comment);
   }
-  for (const Remark& remark : v.at_end) to->push_back(remark.text);
+  for (const AttachedComment& comment : v.closing_comments) comments->push_back(comment.text);
 }
 
 class Formatter {
  public:
   std::string Run(const Document& document) {
-    Statements(document.statements, 0);
-    for (const Remark& remark : document.at_end) {
-      if (remark.blank_before && !out_.empty()) out_ += '\n';
-      Line(0, remark.text);
+    FormatStatements(document.statements, 0);
+    for (const AttachedComment& comment : document.closing_comments) {
+      if (comment.blank_line_before && !out_.empty()) out_ += '\n';
+      WriteLine(0, comment.text);
     }
     return out_;
   }
 
  private:
-  void Line(std::size_t depth, const std::string& text) { out_ += std::string(2 * depth, ' ') + text + "\n"; }
+  void WriteLine(std::size_t depth, const std::string& text) {
+    out_ += std::string(2 * depth, ' ') + text + "\n";
+  }
 
-  void Statements(const std::vector<Statement>& all, std::size_t depth) {
+  void FormatStatements(const std::vector<Statement>& all, std::size_t depth) {
     bool first = true;
     bool block_before = false;
     for (const Statement& s : all) {
       const bool block = s.form == Statement::Form::kBlock;
-      // Blocks stand apart on the outermost level; elsewhere an empty line is kept where there was one.
-      if (!first && (s.blank_before || (depth == 0 && (block || block_before)))) out_ += '\n';
-      for (const Remark& remark : s.before) {
-        if (remark.blank_before) out_ += '\n';
-        Line(depth, remark.text);
+      // Blocks at top level are separated by an empty line; elsewhere existing empty lines are kept.
+      if (!first && (s.blank_line_before || (depth == 0 && (block || block_before)))) out_ += '\n';
+      for (const AttachedComment& comment : s.leading_comments) {
+        if (comment.blank_line_before) out_ += '\n';
+        WriteLine(depth, comment.text);
       }
-      if (s.blank_after) out_ += '\n';
-      One(s, depth);
+      if (s.blank_line_after_comments) out_ += '\n';
+      FormatStatement(s, depth);
       first = false;
       block_before = block;
     }
   }
-  void One(const Statement& s, std::size_t depth) {
-    const std::string beside = s.beside.empty() ? "" : "  " + s.beside;
+  void FormatStatement(const Statement& s, std::size_t depth) {
+    const std::string trailing_comment = s.trailing_comment.empty() ? "" : "  " + s.trailing_comment;
     switch (s.form) {
       case Statement::Form::kInclude:
-        Line(depth, "include " + Quoted(s.name) + beside);
+        WriteLine(depth, "include " + Quote(s.name) + trailing_comment);
         return;
       case Statement::Form::kLet:
-        Setting("let " + s.name + " = ", s.value, depth, beside);
+        FormatAssignment("let " + s.name + " = ", s.value, depth, trailing_comment);
         return;
       case Statement::Form::kSetting:
-        Setting(s.name + " = ", s.value, depth, beside);
+        FormatAssignment(s.name + " = ", s.value, depth, trailing_comment);
         return;
       case Statement::Form::kBlock: {
         const std::string head =
-            s.kind + (s.name.empty() && s.name_span.to == 0 ? "" : " " + Name(s.name)) + " {";
-        if (s.body.empty() && s.at_end.empty()) {
-          Line(depth, head + "}" + beside);
+            s.kind + (s.name.empty() && s.name_span.end == 0 ? "" : " " + FormatName(s.name)) + " {";
+        if (s.body.empty() && s.closing_comments.empty()) {
+          WriteLine(depth, head + "}" + trailing_comment);
           return;
         }
-        Line(depth, head);
-        Statements(s.body, depth + 1);
-        for (const Remark& remark : s.at_end) {
-          if (remark.blank_before && !s.body.empty()) out_ += '\n';
-          Line(depth + 1, remark.text);
+        WriteLine(depth, head);
+        FormatStatements(s.body, depth + 1);
+        for (const AttachedComment& comment : s.closing_comments) {
+          if (comment.blank_line_before && !s.body.empty()) out_ += '\n';
+          WriteLine(depth + 1, comment.text);
         }
-        Line(depth, "}" + beside);
+        WriteLine(depth, "}" + trailing_comment);
       }
     }
   }
-  static std::string Name(const std::string& name) { return IsName(name) ? name : Quoted(name); }
-
-  void Setting(const std::string& head, const Value& value, std::size_t depth, const std::string& beside) {
-    const std::string one = HasComments(value) ? "" : FormatValue(value);
-    const bool fits = !one.empty() && 2 * depth + head.size() + one.size() <= kColumns;
-    if (fits || value.kind != Kind::kList) {
-      Above(value, depth);
-      Line(depth, head + FormatValue(value) + beside);
+  static std::string FormatName(const std::string& name) { return IsName(name) ? name : Quote(name); }
+
+  void FormatAssignment(const std::string& head, const Value& value, std::size_t depth,
+                        const std::string& trailing_comment) {
+    const std::string one_line = HasComments(value) ? "" : FormatValue(value);
+    const bool fits = !one_line.empty() && 2 * depth + head.size() + one_line.size() <= kMaxColumns;
+    if (fits || value.kind != ValueKind::kList) {
+      WriteInnerComments(value, depth);
+      WriteLine(depth, head + FormatValue(value) + trailing_comment);
       return;
     }
-    Long(head, value, depth, beside);
+    FormatMultiLineList(head, value, depth, trailing_comment);
   }
-  void Above(const Value& value, std::size_t depth) {
+  void WriteInnerComments(const Value& value, std::size_t depth) {
     std::vector<std::string> all;
-    Inside(value, &all);
-    for (const std::string& text : all) Line(depth, text);
+    CollectInnerComments(value, &all);
+    for (const std::string& text : all) WriteLine(depth, text);
   }
-  // An element a line.
-  void Long(const std::string& head, const Value& list, std::size_t depth, const std::string& behind) {
-    Line(depth, head + "[");
-    for (const Value& part : list.parts) {
-      for (const Remark& remark : part.before) {
-        if (remark.blank_before) out_ += '\n';
-        Line(depth + 1, remark.text);
+  // Writes one element per line.
+  void FormatMultiLineList(const std::string& head, const Value& list, std::size_t depth,
+                           const std::string& suffix) {
+    WriteLine(depth, head + "[");
+    for (const Value& part : list.children) {
+      for (const AttachedComment& comment : part.leading_comments) {
+        if (comment.blank_line_before) out_ += '\n';
+        WriteLine(depth + 1, comment.text);
       }
-      const std::string beside = "," + (part.beside.empty() ? "" : "  " + part.beside);
-      const bool open =
-          part.kind == Kind::kList && (!part.at_end.empty() || std::ranges::any_of(part.parts, HasComments) ||
-                                       2 * (depth + 1) + FormatValue(part).size() >= kColumns);
-      if (open) {
-        Long("", part, depth + 1, beside);
+      const std::string trailing_comment =
+          "," + (part.trailing_comment.empty() ? "" : "  " + part.trailing_comment);
+      const bool multi_line =
+          part.kind == ValueKind::kList &&
+          (!part.closing_comments.empty() || std::ranges::any_of(part.children, HasComments) ||
+           2 * (depth + 1) + FormatValue(part).size() >= kMaxColumns);
+      if (multi_line) {
+        FormatMultiLineList("", part, depth + 1, trailing_comment);
       } else {
-        Above(part, depth + 1);
-        Line(depth + 1, FormatValue(part) + beside);
+        WriteInnerComments(part, depth + 1);
+        WriteLine(depth + 1, FormatValue(part) + trailing_comment);
       }
     }
-    for (const Remark& remark : list.at_end) Line(depth + 1, remark.text);
-    Line(depth, "]" + behind);
+    for (const AttachedComment& comment : list.closing_comments) WriteLine(depth + 1, comment.text);
+    WriteLine(depth, "]" + suffix);
   }
 
   std::string out_;
@@ -148,30 +156,33 @@
 
 std::string FormatValue(const Value& v) {
   switch (v.kind) {
-    case Kind::kNumber:
-    case Kind::kName:
+    case ValueKind::kNumber:
+    case ValueKind::kName:
       return v.text;
-    case Kind::kString:
-      return Quoted(v.text);
-    case Kind::kList: {
+    case ValueKind::kString:
+      return Quote(v.text);
+    case ValueKind::kList: {
       std::string out = "[";
-      for (std::size_t i = 0; i < v.parts.size(); ++i) out += (i > 0 ? ", " : "") + FormatValue(v.parts[i]);
+      for (std::size_t i = 0; i < v.children.size(); ++i)
+        out += (i > 0 ? ", " : "") + FormatValue(v.children[i]);
       return out + "]";
     }
-    case Kind::kNegation: {
-      const Value& of = v.parts[0];
-      return "-" + (of.kind == Kind::kSum || of.kind == Kind::kNegation ? "(" + FormatValue(of) + ")"
-                                                                        : FormatValue(of));
+    case ValueKind::kNegation: {
+      const Value& operand = v.children[0];
+      return "-" + (operand.kind == ValueKind::kBinary || operand.kind == ValueKind::kNegation
+                        ? "(" + FormatValue(operand) + ")"
+                        : FormatValue(operand));
     }
-    case Kind::kSum: {
+    case ValueKind::kBinary: {
       const auto side = [&v](const Value& part, bool right) {
-        const bool brackets =
-            Rank(part) < Rank(v) || (right && Rank(part) == Rank(v)) || part.kind == Kind::kNegation;
-        return brackets ? "(" + FormatValue(part) + ")" : FormatValue(part);
+        const bool parenthesized = Precedence(part) < Precedence(v) ||
+                                   (right && Precedence(part) == Precedence(v)) ||
+                                   part.kind == ValueKind::kNegation;
+        return parenthesized ? "(" + FormatValue(part) + ")" : FormatValue(part);
       };
-      return side(v.parts[0], false) + " " + v.sign + " " + side(v.parts[1], true);
+      return side(v.children[0], false) + " " + v.operation + " " + side(v.children[1], true);
     }
-    case Kind::kBroken:
+    case ValueKind::kInvalid:
       return "?";
   }
   return "?";
--- a/src/config_language/formatter.h
+++ b/src/config_language/formatter.h
@@ -1,5 +1,5 @@
-// The one written form of a text: two blanks a level, a line a setting, a list on one line where it fits,
-// comments kept where they stand, at most one empty line between statements. Written again it stays the same.
+// Writes a document in the standard format: two spaces per level, one setting per line, a list on one line if
+// it fits, comments kept in place, and at most one empty line between statements. Formatting is idempotent.
 #pragma once
 
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace cluster_manager::config_language {
 
-constexpr std::size_t kColumns = 100;
+constexpr std::size_t kMaxColumns = 100;
 
-// For documents that were read without an error.
+// Only for documents that were parsed without errors.
 std::string Format(const Document& document);
-std::string FormatValue(const Value& value);  // on one line
+// Formats a value on one line, without its comments.
+std::string FormatValue(const Value& value);
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/lexer.cpp
+++ b/src/config_language/lexer.cpp
@@ -11,27 +11,27 @@
 bool IsNameByte(char c) { return IsLetter(c) || IsDigit(c) || c == '-'; }
 bool IsControl(char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7F; }
 
-// How many bytes the character at the front takes, 0 where it is no UTF-8 (RFC 3629: no overlong forms, no
-// halves of pairs, nothing past U+10FFFF).
+// The number of bytes of the first character, 0 if it is not valid UTF-8 (RFC 3629: no overlong forms, no
+// surrogates, nothing above U+10FFFF).
 std::size_t CharacterBytes(std::string_view text) {
   const auto byte = [text](std::size_t i) {
     return i < text.size() ? static_cast<unsigned char>(text[i]) : 0;
   };
-  const auto follows = [&](std::size_t i, unsigned char low = 0x80, unsigned char high = 0xBF) {
+  const auto is_continuation = [&](std::size_t i, unsigned char low = 0x80, unsigned char high = 0xBF) {
     return byte(i) >= low && byte(i) <= high;
   };
   const unsigned char first = byte(0);
   if (first < 0x80) return 1;
-  if (first >= 0xC2 && first <= 0xDF) return follows(1) ? 2 : 0;
+  if (first >= 0xC2 && first <= 0xDF) return is_continuation(1) ? 2 : 0;
   if (first >= 0xE0 && first <= 0xEF) {
     const unsigned char low = first == 0xE0 ? 0xA0 : 0x80;
     const unsigned char high = first == 0xED ? 0x9F : 0xBF;
-    return follows(1, low, high) && follows(2) ? 3 : 0;
+    return is_continuation(1, low, high) && is_continuation(2) ? 3 : 0;
   }
   if (first >= 0xF0 && first <= 0xF4) {
     const unsigned char low = first == 0xF0 ? 0x90 : 0x80;
     const unsigned char high = first == 0xF4 ? 0x8F : 0xBF;
-    return follows(1, low, high) && follows(2) && follows(3) ? 4 : 0;
+    return is_continuation(1, low, high) && is_continuation(2) && is_continuation(3) ? 4 : 0;
   }
   return 0;
 }
@@ -41,223 +41,228 @@
   Lexer(const Source& source, std::uint32_t file, Diagnostics* diagnostics)
       : text_(source.text()), file_(file), diagnostics_(diagnostics) {}
 
-  Words Run() {
-    if (text_.starts_with("\xEF\xBB\xBF")) at_ = 3;  // the mark some editors put first
+  LexResult Run() {
+    if (text_.starts_with("\xEF\xBB\xBF")) position_ = 3;  // byte order mark
     while (true) {
       SkipSpace();
-      if (at_ >= text_.size()) break;
-      Next();
+      if (position_ >= text_.size()) break;
+      LexToken();
     }
     Token end;
-    end.span = Here(at_, at_);
-    end.line_before = true;
-    words_.tokens.push_back(std::move(end));
-    return std::move(words_);
+    end.span = MakeSpan(position_, position_);
+    end.first_on_line = true;
+    lexed_.tokens.push_back(std::move(end));
+    return std::move(lexed_);
   }
 
  private:
-  Span Here(std::size_t from, std::size_t to) const {
+  Span MakeSpan(std::size_t from, std::size_t to) const {
     return {file_, static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(to)};
   }
-  char Peek(std::size_t ahead = 0) const { return at_ + ahead < text_.size() ? text_[at_ + ahead] : '\0'; }
+  char Peek(std::size_t ahead = 0) const {
+    return position_ + ahead < text_.size() ? text_[position_ + ahead] : '\0';
+  }
 
   void SkipSpace() {
-    while (at_ < text_.size()) {
-      const char c = text_[at_];
+    while (position_ < text_.size()) {
+      const char c = text_[position_];
       if (c == '\n') {
-        ++line_ends_;
-        ++at_;
+        ++line_breaks_;
+        ++position_;
       } else if (c == ' ' || c == '\t' || c == '\r') {
-        ++at_;
+        ++position_;
       } else if (c == '#') {
-        TakeComment();
+        LexComment();
       } else {
         return;
       }
     }
   }
-  void TakeComment() {
-    const std::size_t from = at_;
-    while (at_ < text_.size() && text_[at_] != '\n') {
-      const std::size_t bytes = CharacterBytes(text_.substr(at_));
+  void LexComment() {
+    const std::size_t from = position_;
+    while (position_ < text_.size() && text_[position_] != '\n') {
+      const std::size_t bytes = CharacterBytes(text_.substr(position_));
       if (bytes == 0) {
-        BadBytes();
+        ReportInvalidUtf8();
         continue;
       }
-      if (IsControl(text_[at_]) && text_[at_] != '\t' && text_[at_] != '\r') Control();
-      at_ += bytes;
+      if (IsControl(text_[position_]) && text_[position_] != '\t' && text_[position_] != '\r')
+        ReportControlByte();
+      position_ += bytes;
     }
-    std::string_view text = text_.substr(from, at_ - from);
+    std::string_view text = text_.substr(from, position_ - from);
     while (!text.empty() && (text.back() == ' ' || text.back() == '\t' || text.back() == '\r'))
       text.remove_suffix(1);
-    words_.comments.push_back({Here(from, from + text.size()), std::string(text),
-                               words_.tokens.empty() || line_ends_ > 0, line_ends_ > 1});
-    line_ends_ = 0;  // the end of the comment's line is still to come
+    lexed_.comments.push_back({MakeSpan(from, from + text.size()), std::string(text),
+                               lexed_.tokens.empty() || line_breaks_ > 0, line_breaks_ > 1});
+    line_breaks_ = 0;  // the line break that ends the comment follows
   }
-  void Control() {
-    if (control_seen_) return;  // one of many is enough
-    control_seen_ = true;
+  void ReportControlByte() {
+    if (control_byte_reported_) return;  // only the first one is reported
+    control_byte_reported_ = true;
     diagnostics_->Add(
-        "L004", Here(at_, at_ + 1),
-        "control byte " + std::to_string(static_cast<unsigned char>(text_[at_])) + " in the text",
-        "take it out");
+        "L004", MakeSpan(position_, position_ + 1),
+        "control byte " + std::to_string(static_cast<unsigned char>(text_[position_])) + " in the text",
+        "remove it");
   }
-  void BadBytes() {
-    const std::size_t from = at_;
-    while (at_ < text_.size() && CharacterBytes(text_.substr(at_)) == 0) ++at_;
-    if (bad_bytes_seen_) return;
-    bad_bytes_seen_ = true;
-    diagnostics_->Add("L003", Here(from, at_), "bytes that are no UTF-8", "save the file as UTF-8");
+  void ReportInvalidUtf8() {
+    const std::size_t from = position_;
+    while (position_ < text_.size() && CharacterBytes(text_.substr(position_)) == 0) ++position_;
+    if (invalid_utf8_reported_) return;
+    invalid_utf8_reported_ = true;
+    diagnostics_->Add("L003", MakeSpan(from, position_), "invalid UTF-8", "save the file as UTF-8");
   }
 
-  Token& Put(Word word, std::size_t from) {
+  Token& AddToken(TokenKind kind, std::size_t from) {
     Token token;
-    token.word = word;
-    token.span = Here(from, at_);
-    token.line_before = words_.tokens.empty() || line_ends_ > 0;
-    token.blank_before = line_ends_ > 1;
-    line_ends_ = 0;
-    words_.tokens.push_back(std::move(token));
-    return words_.tokens.back();
+    token.kind = kind;
+    token.span = MakeSpan(from, position_);
+    token.first_on_line = lexed_.tokens.empty() || line_breaks_ > 0;
+    token.blank_line_before = line_breaks_ > 1;
+    line_breaks_ = 0;
+    lexed_.tokens.push_back(std::move(token));
+    return lexed_.tokens.back();
   }
-  void Next() {
-    const std::size_t from = at_;
-    const char c = text_[at_];
+  void LexToken() {
+    const std::size_t from = position_;
+    const char c = text_[position_];
     if (IsLetter(c)) {
-      while (IsNameByte(Peek()) || (Peek() == '.' && IsNameByte(Peek(1)))) ++at_;
-      Put(Word::kName, from).text = std::string(text_.substr(from, at_ - from));
+      while (IsNameByte(Peek()) || (Peek() == '.' && IsNameByte(Peek(1)))) ++position_;
+      AddToken(TokenKind::kName, from).text = std::string(text_.substr(from, position_ - from));
     } else if (IsDigit(c) || (c == '.' && IsDigit(Peek(1)))) {
-      TakeNumber();
+      LexNumber();
     } else if (c == '"') {
-      TakeString();
+      LexString();
     } else if (std::string_view("{}[]()=,+-*/").find(c) != std::string_view::npos) {
-      ++at_;
-      Put(Word::kSign, from).sign = c;
-    } else if (CharacterBytes(text_.substr(at_)) == 0) {
-      BadBytes();
+      ++position_;
+      AddToken(TokenKind::kSymbol, from).symbol = c;
+    } else if (CharacterBytes(text_.substr(position_)) == 0) {
+      ReportInvalidUtf8();
     } else if (IsControl(c)) {
-      Control();
-      ++at_;
+      ReportControlByte();
+      ++position_;
     } else {
-      // A run of such characters is one error.
-      while (at_ < text_.size() && Strange()) at_ += CharacterBytes(text_.substr(at_));
-      diagnostics_->Add("L001", Here(from, at_), "nothing begins with '" + Quoted(from) + "'",
-                        c == '\''  ? "write text between double quotes"
-                        : c == ';' ? "end the line instead"
+      // A run of invalid characters is reported as one error.
+      while (position_ < text_.size() && IsInvalidCharacter())
+        position_ += CharacterBytes(text_.substr(position_));
+      diagnostics_->Add("L001", MakeSpan(from, position_), "unexpected '" + Excerpt(from) + "'",
+                        c == '\''  ? "write strings between double quotes"
+                        : c == ';' ? "start a new line instead"
                                    : "");
     }
   }
-  bool Strange() const {
+  bool IsInvalidCharacter() const {
     const char c = Peek();
     return !IsLetter(c) && !IsDigit(c) && !IsControl(c) && c != ' ' && c != '#' && c != '"' &&
            std::string_view("{}[]()=,+-*/").find(c) == std::string_view::npos &&
-           CharacterBytes(text_.substr(at_)) > 0;
+           CharacterBytes(text_.substr(position_)) > 0;
   }
-  std::string Quoted(std::size_t from) const {
-    constexpr std::size_t kMost = 20;
+  std::string Excerpt(std::size_t from) const {
+    constexpr std::size_t kMaxLength = 20;
     std::size_t to = from;
-    while (to < at_ && to - from < kMost) to += std::max<std::size_t>(1, CharacterBytes(text_.substr(to)));
-    return std::string(text_.substr(from, std::min(to, at_) - from)) + (to < at_ ? "..." : "");
+    while (to < position_ && to - from < kMaxLength)
+      to += std::max<std::size_t>(1, CharacterBytes(text_.substr(to)));
+    return std::string(text_.substr(from, std::min(to, position_) - from)) + (to < position_ ? "..." : "");
   }
 
-  void TakeNumber() {
-    const std::size_t from = at_;
+  void LexNumber() {
+    const std::size_t from = position_;
     int points = 0;
     while (IsDigit(Peek()) || (Peek() == '.' && (IsDigit(Peek(1)) || Peek(1) == '.')))
-      points += text_[at_++] == '.';
-    const std::string_view digits = text_.substr(from, at_ - from);
-    const std::size_t unit_from = at_;
+      points += text_[position_++] == '.';
+    const std::string_view digits = text_.substr(from, position_ - from);
+    const std::size_t unit_from = position_;
     if (Peek() == '%') {
-      ++at_;
+      ++position_;
     } else if (Peek() == '/' && Peek(1) == 's' && !IsNameByte(Peek(2))) {
-      at_ += 2;
+      position_ += 2;
     } else {
-      while (IsLetter(Peek()) || (at_ > unit_from && IsDigit(Peek()))) ++at_;
+      while (IsLetter(Peek()) || (position_ > unit_from && IsDigit(Peek()))) ++position_;
     }
-    const std::string_view unit = text_.substr(unit_from, at_ - unit_from);
-    Token& token = Put(Word::kNumber, from);
-    constexpr std::size_t kMostDigits = 30;
+    const std::string_view unit = text_.substr(unit_from, position_ - unit_from);
+    Token& token = AddToken(TokenKind::kNumber, from);
+    constexpr std::size_t kMaxDigits = 30;
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), token.number);
     if (points > 1 || error != std::errc() || stop != digits.data() + digits.size() ||
-        digits.size() > kMostDigits) {
+        digits.size() > kMaxDigits) {
       token.number = 0;
-      diagnostics_->Add("L007", Here(from, unit_from), "this is no number that can be used");
+      diagnostics_->Add("L007", MakeSpan(from, unit_from), "invalid number");
     }
     if (unit.empty()) return;
     token.unit = FindUnit(unit);
     if (token.unit != nullptr) return;
     std::vector<std::string_view> names;
     for (const Unit& each : Units()) names.push_back(each.name);
-    const std::string_view meant = MeantUnit(unit, names);
-    diagnostics_->Add("L006", Here(unit_from, at_), "no unit is called '" + std::string(unit) + "'",
-                      meant.empty() ? "write one of ms, s, min, h, cores, KiB, MiB, GiB, /s, %"
-                                    : "write " + std::string(digits) + std::string(meant));
+    const std::string_view replacement = SuggestUnit(unit, names);
+    diagnostics_->Add("L006", MakeSpan(unit_from, position_), "unknown unit '" + std::string(unit) + "'",
+                      replacement.empty() ? "write one of ms, s, min, h, cores, KiB, MiB, GiB, /s, %"
+                                          : "write " + std::string(digits) + std::string(replacement));
   }
-  // Words that people write for a unit, then what is nearest.
-  static std::string_view MeantUnit(std::string_view unit, const std::vector<std::string_view>& names) {
-    static constexpr std::pair<std::string_view, std::string_view> kOthers[] = {
+  // Suggests the unit for a common alias, otherwise the most similar unit.
+  static std::string_view SuggestUnit(std::string_view unit, const std::vector<std::string_view>& names) {
+    static constexpr std::pair<std::string_view, std::string_view> kAliases[] = {
         {"sec", "s"},     {"secs", "s"},     {"second", "s"},  {"seconds", "s"},   {"msec", "ms"},
         {"millis", "ms"}, {"m", "min"},      {"mins", "min"},  {"minutes", "min"}, {"hours", "h"},
         {"hour", "h"},    {"core", "cores"}, {"cpu", "cores"}, {"cpus", "cores"},  {"GB", "GiB"},
         {"G", "GiB"},     {"Gi", "GiB"},     {"MB", "MiB"},    {"M", "MiB"},       {"Mi", "MiB"},
         {"KB", "KiB"},    {"K", "KiB"},      {"Ki", "KiB"},    {"gib", "GiB"},     {"mib", "MiB"},
         {"kib", "KiB"},   {"rps", "/s"},     {"percent", "%"}};
-    for (const auto& [other, meant] : kOthers) {
-      if (other == unit) return meant;
+    for (const auto& [alias, replacement] : kAliases) {
+      if (alias == unit) return replacement;
     }
-    return Nearest(unit, names);
+    return ClosestWord(unit, names);
   }
 
-  void TakeString() {
-    const std::size_t from = at_++;
+  void LexString() {
+    const std::size_t from = position_++;
     std::string text;
     while (true) {
-      if (at_ >= text_.size() || Peek() == '\n') {
-        diagnostics_->Add("L002", Here(from, at_), "the string does not end on its line",
-                          "put a \" at its end");
+      if (position_ >= text_.size() || Peek() == '\n') {
+        diagnostics_->Add("L002", MakeSpan(from, position_), "the string is not closed on its line",
+                          "add a closing \"");
         break;
       }
       const char c = Peek();
       if (c == '"') {
-        ++at_;
+        ++position_;
         break;
       }
       if (c == '\\') {
-        TakeEscape(&text);
+        LexEscape(&text);
         continue;
       }
-      const std::size_t bytes = CharacterBytes(text_.substr(at_));
+      const std::size_t bytes = CharacterBytes(text_.substr(position_));
       if (bytes == 0) {
-        BadBytes();
+        ReportInvalidUtf8();
         continue;
       }
-      if (IsControl(c) && c != '\t' && c != '\r') Control();
-      if (c != '\r' || Peek(1) != '\n') text += text_.substr(at_, bytes);
-      at_ += bytes;
+      if (IsControl(c) && c != '\t' && c != '\r') ReportControlByte();
+      if (c != '\r' || Peek(1) != '\n') text += text_.substr(position_, bytes);
+      position_ += bytes;
     }
-    Put(Word::kString, from).text = std::move(text);
+    AddToken(TokenKind::kString, from).text = std::move(text);
   }
-  void TakeEscape(std::string* text) {
+  void LexEscape(std::string* text) {
     const char c = Peek(1);
     static constexpr std::pair<char, char> kEscapes[] = {{'"', '"'}, {'\\', '\\'}, {'n', '\n'}, {'t', '\t'}};
-    for (const auto& [written, meant] : kEscapes) {
+    for (const auto& [written, replacement] : kEscapes) {
       if (written != c) continue;
-      *text += meant;
-      at_ += 2;
+      *text += replacement;
+      position_ += 2;
       return;
     }
-    diagnostics_->Add("L005", Here(at_, std::min(at_ + 2, text_.size())), "an escape that there is not",
-                      "write \\\\ for a backslash");
-    ++at_;
+    diagnostics_->Add("L005", MakeSpan(position_, std::min(position_ + 2, text_.size())),
+                      "unknown escape sequence", "write \\\\ for a backslash");
+    ++position_;
   }
 
   const std::string_view text_;
   const std::uint32_t file_;
   Diagnostics* diagnostics_;
-  std::size_t at_ = 0;
-  int line_ends_ = 0;  // since the last token or comment
-  bool control_seen_ = false, bad_bytes_seen_ = false;
-  Words words_;
+  std::size_t position_ = 0;
+  int line_breaks_ = 0;  // since the last token or comment
+  bool control_byte_reported_ = false, invalid_utf8_reported_ = false;
+  LexResult lexed_;
 };
 
 }  // namespace
@@ -278,7 +283,7 @@
   return it == all.end() ? nullptr : &*it;
 }
 
-Words Lex(const Source& source, std::uint32_t file, Diagnostics* diagnostics) {
+LexResult Lex(const Source& source, std::uint32_t file, Diagnostics* diagnostics) {
   return Lexer(source, file, diagnostics).Run();
 }
 
--- a/src/config_language/lexer.h
+++ b/src/config_language/lexer.h
@@ -1,5 +1,6 @@
-// Words of a text: names, numbers with their units, strings, signs. Comments come apart, since only the
-// written form wants them. Whatever is no word is an error and passed over, so that one run tells of all.
+// Splits a source text into tokens: names, numbers with their units, strings and symbols. Comments are
+// returned separately, since only the formatter needs them. Invalid input is reported and skipped, so that
+// one run reports all errors.
 #pragma once
 
 #include <string>
@@ -11,43 +12,44 @@
 
 namespace cluster_manager::config_language {
 
-enum class Word { kName, kNumber, kString, kSign, kEnd };
+enum class TokenKind { kName, kNumber, kString, kSymbol, kEnd };
 
-// What a quantity measures; the scale takes it to ms, cores, bytes, per second or a share.
+// What a quantity measures.
 enum class Dimension { kNone, kTime, kCores, kBytes, kRate, kShare };
 
 struct Unit {
   std::string_view name;
   Dimension dimension;
-  double scale;
+  double scale;  // converts to ms, cores, bytes, per second or a share of 1
 };
 
 const std::vector<Unit>& Units();
+// Null if there is no such unit.
 const Unit* FindUnit(std::string_view name);
 
 struct Token {
-  Word word = Word::kEnd;
-  char sign = 0;  // of kSign
+  TokenKind kind = TokenKind::kEnd;
+  char symbol = 0;  // of kSymbol
   Span span;
-  double number = 0;           // of kNumber, without its unit
-  const Unit* unit = nullptr;  // null: none
-  std::string text;            // of kString, without quotes and escapes; of kName itself
-  bool line_before = false;    // it is the first of its line
-  bool blank_before = false;   // an empty line stands before it, comments left out
+  double number = 0;               // of kNumber, without its unit
+  const Unit* unit = nullptr;      // null: none
+  std::string text;                // of kString, with quotes removed and escapes decoded; of kName as written
+  bool first_on_line = false;      // the first token of its line
+  bool blank_line_before = false;  // preceded by an empty line, not counting comments
 };
 
 struct Comment {
   Span span;
-  std::string text;       // with its #, without white space at the end
-  bool own_line = false;  // nothing stands before it on its line
-  bool blank_before = false;
+  std::string text;       // including the #, without trailing white space
+  bool own_line = false;  // not preceded by a token on its line
+  bool blank_line_before = false;
 };
 
-struct Words {
+struct LexResult {
   std::vector<Token> tokens;  // the last one is kEnd
   std::vector<Comment> comments;
 };
 
-Words Lex(const Source& source, std::uint32_t file, Diagnostics* diagnostics);
+LexResult Lex(const Source& source, std::uint32_t file, Diagnostics* diagnostics);
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/parser.cpp
+++ b/src/config_language/parser.cpp
@@ -9,299 +9,314 @@
 class Parser {
  public:
   Parser(const Source& source, std::uint32_t file, Diagnostics* diagnostics)
-      : source_(source), words_(Lex(source, file, diagnostics)), diagnostics_(diagnostics) {}
+      : source_(source), lexed_(Lex(source, file, diagnostics)), diagnostics_(diagnostics) {}
 
   Document Run() {
     Document document;
     while (true) {
-      Statements(0, &document.statements);
-      if (Now().word == Word::kEnd) break;
-      diagnostics_->Add("P005", Now().span, "this } closes nothing", "take it out");
-      ++at_;
+      ParseStatements(0, &document.statements);
+      if (Current().kind == TokenKind::kEnd) break;
+      diagnostics_->Add("P005", Current().span, "unmatched }", "remove it");
+      ++position_;
     }
-    Remarks(Now().span.from, &document.at_end);
+    TakeComments(Current().span.begin, &document.closing_comments);
     return document;
   }
 
  private:
-  const Token& Now() const { return words_.tokens[at_]; }
-  const Token& After(std::size_t ahead = 1) const {
-    return words_.tokens[std::min(at_ + ahead, words_.tokens.size() - 1)];
+  const Token& Current() const { return lexed_.tokens[position_]; }
+  const Token& PeekToken(std::size_t ahead = 1) const {
+    return lexed_.tokens[std::min(position_ + ahead, lexed_.tokens.size() - 1)];
   }
-  static bool Is(const Token& token, char sign) { return token.word == Word::kSign && token.sign == sign; }
-  bool Take(char sign) {
-    if (!Is(Now(), sign)) return false;
-    ++at_;
+  static bool IsSymbol(const Token& token, char symbol) {
+    return token.kind == TokenKind::kSymbol && token.symbol == symbol;
+  }
+  bool ConsumeSymbol(char symbol) {
+    if (!IsSymbol(Current(), symbol)) return false;
+    ++position_;
     return true;
   }
-  std::string Found() const {
-    switch (Now().word) {
-      case Word::kEnd:
+  std::string DescribeCurrent() const {
+    switch (Current().kind) {
+      case TokenKind::kEnd:
         return "the end of the file";
-      case Word::kSign:
-        return std::string("'") + Now().sign + "'";
-      case Word::kName:
-        return "'" + Now().text.substr(0, 40) + "'";
-      case Word::kNumber:
+      case TokenKind::kSymbol:
+        return std::string("'") + Current().symbol + "'";
+      case TokenKind::kName:
+        return "'" + Current().text.substr(0, 40) + "'";
+      case TokenKind::kNumber:
         return "a number";
-      case Word::kString:
+      case TokenKind::kString:
         return "a string";
     }
     return "something";
   }
-  Span Until(const Span& from) const {
-    return {from.file, from.from, at_ == 0 ? from.to : std::max(from.to, words_.tokens[at_ - 1].span.to)};
+  Span SpanFrom(const Span& from) const {
+    return {from.file, from.begin,
+            position_ == 0 ? from.end : std::max(from.end, lexed_.tokens[position_ - 1].span.end)};
   }
 
   // --- Comments ------------------------------------------------------------------------------------------
-  // Those that stand before `offset` and belong to nobody yet.
-  void Remarks(std::size_t offset, std::vector<Remark>* to) {
-    for (; comment_ < words_.comments.size() && words_.comments[comment_].span.from < offset; ++comment_) {
-      to->push_back({words_.comments[comment_].text, words_.comments[comment_].blank_before});
+  // Moves the comments before `offset` that are not attached yet to `to`.
+  void TakeComments(std::size_t offset, std::vector<AttachedComment>* to) {
+    for (; next_comment_ < lexed_.comments.size() && lexed_.comments[next_comment_].span.begin < offset;
+         ++next_comment_) {
+      to->push_back({lexed_.comments[next_comment_].text, lexed_.comments[next_comment_].blank_line_before});
     }
   }
-  // One on the line of what was just read; `behind`: what follows it.
-  void Beside(std::string* to) {
-    if (comment_ >= words_.comments.size() || words_.comments[comment_].own_line) return;
-    if (words_.comments[comment_].span.from > Now().span.from) return;
-    *to = words_.comments[comment_++].text;
+  // Moves the comment that follows the last token on its line to `to`, if there is one.
+  void TakeTrailingComment(std::string* to) {
+    if (next_comment_ >= lexed_.comments.size() || lexed_.comments[next_comment_].own_line) return;
+    if (lexed_.comments[next_comment_].span.begin > Current().span.begin) return;
+    *to = lexed_.comments[next_comment_++].text;
   }
 
   // --- Statements ----------------------------------------------------------------------------------------
-  // To the end of the text or a } that is not theirs.
-  void Statements(int depth, std::vector<Statement>* to) {
-    while (Now().word != Word::kEnd && !Is(Now(), '}')) {
-      const std::size_t begun = at_;
+  // Parses statements up to the end of the text or an unmatched }.
+  void ParseStatements(int depth, std::vector<Statement>* to) {
+    while (Current().kind != TokenKind::kEnd && !IsSymbol(Current(), '}')) {
+      const std::size_t start = position_;
       Statement s;
-      s.blank_before = Now().blank_before;
-      Remarks(Now().span.from, &s.before);
-      if (!s.before.empty()) {
-        s.blank_after = s.blank_before;
-        s.blank_before = std::exchange(s.before.front().blank_before, false);
+      s.blank_line_before = Current().blank_line_before;
+      TakeComments(Current().span.begin, &s.leading_comments);
+      if (!s.leading_comments.empty()) {
+        s.blank_line_after_comments = s.blank_line_before;
+        s.blank_line_before = std::exchange(s.leading_comments.front().blank_line_before, false);
       }
-      if (One(depth, &s)) {
-        Remarks(words_.tokens[at_ - 1].span.from, &s.before);  // in the middle of it: they go above it
-        Beside(&s.beside);
+      if (ParseStatement(depth, &s)) {
+        TakeComments(lexed_.tokens[position_ - 1].span.begin,
+                     &s.leading_comments);  // comments inside the statement
+        TakeTrailingComment(&s.trailing_comment);
         to->push_back(std::move(s));
       } else {
-        Recover(begun);
+        RecoverFrom(start);
       }
     }
   }
-  bool One(int depth, Statement* s) {
-    s->span = Now().span;
-    if (Now().word != Word::kName) {
-      diagnostics_->Add("P001", Now().span,
-                        "a setting, a block, let or include was expected, not " + Found());
+  bool ParseStatement(int depth, Statement* s) {
+    s->span = Current().span;
+    if (Current().kind != TokenKind::kName) {
+      diagnostics_->Add("P001", Current().span,
+                        "expected a setting, a block, let or include, found " + DescribeCurrent());
       return false;
     }
-    const std::string& word = Now().text;
-    if (word == "include" && After().word == Word::kString) {
+    const std::string& word = Current().text;
+    if (word == "include" && PeekToken().kind == TokenKind::kString) {
       s->form = Statement::Form::kInclude;
-      ++at_;
-      s->name = Now().text;
-      s->name_span = Now().span;
-      ++at_;
-      s->span = Until(s->span);
+      ++position_;
+      s->name = Current().text;
+      s->name_span = Current().span;
+      ++position_;
+      s->span = SpanFrom(s->span);
       return true;
     }
-    if (word == "let" && After().word == Word::kName && !After().line_before) {
+    if (word == "let" && PeekToken().kind == TokenKind::kName && !PeekToken().first_on_line) {
       s->form = Statement::Form::kLet;
-      ++at_;
-      return Assignment(s);
+      ++position_;
+      return ParseAssignment(s);
     }
-    if (Is(After(), '=')) {
+    if (IsSymbol(PeekToken(), '=')) {
       s->form = Statement::Form::kSetting;
-      return Assignment(s);
+      return ParseAssignment(s);
     }
-    const bool named = (After().word == Word::kName || After().word == Word::kString) && !After().line_before;
-    if (Is(After(named ? 2 : 1), '{')) return Block(depth, named, s);
+    const bool named = (PeekToken().kind == TokenKind::kName || PeekToken().kind == TokenKind::kString) &&
+                       !PeekToken().first_on_line;
+    if (IsSymbol(PeekToken(named ? 2 : 1), '{')) return ParseBlock(depth, named, s);
     s->name = word;
     diagnostics_->Add(
-        "P006", Now().span, "'" + word.substr(0, 40) + "' is followed by neither = nor {",
+        "P006", Current().span, "'" + word.substr(0, 40) + "' is followed by neither = nor {",
         "write " + word.substr(0, 40) + " = VALUE, or a block " + word.substr(0, 40) + " NAME { ... }");
     return false;
   }
-  bool Assignment(Statement* s) {
-    s->name = Now().text;
-    s->name_span = Now().span;
-    ++at_;
-    if (!Take('=')) {
-      diagnostics_->Add("P001", Now().span, "= was expected, not " + Found(), "write let NAME = VALUE");
+  bool ParseAssignment(Statement* s) {
+    s->name = Current().text;
+    s->name_span = Current().span;
+    ++position_;
+    if (!ConsumeSymbol('=')) {
+      diagnostics_->Add("P001", Current().span, "expected =, found " + DescribeCurrent(),
+                        "write let NAME = VALUE");
       return false;
     }
-    const bool missing =
-        Now().word == Word::kEnd || Is(Now(), '}') ||
-        (Now().line_before && Now().word == Word::kName && (Is(After(), '=') || Is(After(), '{')));
+    const bool missing = Current().kind == TokenKind::kEnd || IsSymbol(Current(), '}') ||
+                         (Current().first_on_line && Current().kind == TokenKind::kName &&
+                          (IsSymbol(PeekToken(), '=') || IsSymbol(PeekToken(), '{')));
     if (missing) {
       diagnostics_->Add("P004", s->name_span, "'" + s->name.substr(0, 40) + "' has no value",
-                        "write one behind the =");
+                        "write a value after the =");
       return false;
     }
-    const std::size_t begun = at_;
-    s->value = Sum(0, 0);
-    if (at_ == begun) return false;
-    s->span = Until(s->span);
+    const std::size_t start = position_;
+    s->value = ParseExpression(0, 0);
+    if (position_ == start) return false;
+    s->span = SpanFrom(s->span);
     return true;
   }
-  bool Block(int depth, bool named, Statement* s) {
+  bool ParseBlock(int depth, bool named, Statement* s) {
     s->form = Statement::Form::kBlock;
-    s->kind = Now().text;
-    s->kind_span = Now().span;
-    ++at_;
+    s->kind = Current().text;
+    s->kind_span = Current().span;
+    ++position_;
     if (named) {
-      s->name = Now().text;
-      s->name_span = Now().span;
-      ++at_;
+      s->name = Current().text;
+      s->name_span = Current().span;
+      ++position_;
     }
-    const Span open = Now().span;
-    if (depth >= kDeepest) {
-      diagnostics_->Add("P003", open, "blocks are nested more than " + std::to_string(kDeepest) + " deep");
+    const Span open = Current().span;
+    if (depth >= kMaxNestingDepth) {
+      diagnostics_->Add("P003", open,
+                        "blocks are nested more than " + std::to_string(kMaxNestingDepth) + " levels deep");
       SkipNested();
       return true;
     }
-    ++at_;
-    Statements(depth + 1, &s->body);
-    Remarks(Now().span.from, &s->at_end);
-    if (!Take('}')) {
+    ++position_;
+    ParseStatements(depth + 1, &s->body);
+    TakeComments(Current().span.begin, &s->closing_comments);
+    if (!ConsumeSymbol('}')) {
       Diagnostic& d =
-          diagnostics_->Add("P002", Now().span, "the block '" + s->kind.substr(0, 40) + "' is not closed",
-                            "write } at its end");
-      d.notes.push_back({open, "it begins here"});
+          diagnostics_->Add("P002", Current().span, "the block '" + s->kind.substr(0, 40) + "' is not closed",
+                            "add } at its end");
+      d.notes.push_back({open, "it starts here"});
     }
-    s->span = Until(s->span);
+    s->span = SpanFrom(s->span);
     return true;
   }
-  // From an opening sign to behind the one that closes it, without recursion.
+  // Skips from an opening symbol past the symbol that closes it, without recursion.
   void SkipNested() {
     int open = 0;
     do {
-      if (Now().word == Word::kSign) {
-        open += Now().sign == '{' || Now().sign == '[' || Now().sign == '(';
-        open -= Now().sign == '}' || Now().sign == ']' || Now().sign == ')';
+      if (Current().kind == TokenKind::kSymbol) {
+        open += Current().symbol == '{' || Current().symbol == '[' || Current().symbol == '(';
+        open -= Current().symbol == '}' || Current().symbol == ']' || Current().symbol == ')';
       }
-      ++at_;
-    } while (open > 0 && Now().word != Word::kEnd);
+      ++position_;
+    } while (open > 0 && Current().kind != TokenKind::kEnd);
   }
-  // To the next line that begins with a name or closes a block; what is nested meanwhile is passed over
-  // whole.
-  void Recover(std::size_t begun) {
-    if (at_ == begun) {
-      if (Is(Now(), '{') || Is(Now(), '[') || Is(Now(), '(')) {
+  // Skips to the next line that starts with a name, or to a } that closes a block. Nested blocks, lists and
+  // parentheses in between are skipped as a whole.
+  void RecoverFrom(std::size_t start) {
+    if (position_ == start) {
+      if (IsSymbol(Current(), '{') || IsSymbol(Current(), '[') || IsSymbol(Current(), '(')) {
         SkipNested();
       } else {
-        ++at_;
+        ++position_;
       }
     }
-    while (Now().word != Word::kEnd && !Is(Now(), '}')) {
-      if (Now().line_before && Now().word == Word::kName) return;
-      if (Is(Now(), '{') || Is(Now(), '[') || Is(Now(), '(')) {
+    while (Current().kind != TokenKind::kEnd && !IsSymbol(Current(), '}')) {
+      if (Current().first_on_line && Current().kind == TokenKind::kName) return;
+      if (IsSymbol(Current(), '{') || IsSymbol(Current(), '[') || IsSymbol(Current(), '(')) {
         SkipNested();
       } else {
-        ++at_;
+        ++position_;
       }
     }
   }
 
   // --- Values --------------------------------------------------------------------------------------------
-  static int Rank(const Token& token) {
-    if (token.word != Word::kSign) return 0;
-    return token.sign == '+' || token.sign == '-' ? 1 : token.sign == '*' || token.sign == '/' ? 2 : 0;
+  static int Precedence(const Token& token) {
+    if (token.kind != TokenKind::kSymbol) return 0;
+    return token.symbol == '+' || token.symbol == '-'   ? 1
+           : token.symbol == '*' || token.symbol == '/' ? 2
+                                                        : 0;
   }
-  // Operators of a rank above `rank`, the left ones first.
-  Value Sum(int depth, int rank) {
-    Value left = Factor(depth);
-    while (Rank(Now()) > rank && !Now().line_before) {
-      const int its = Rank(Now());
-      Value sum;
-      sum.kind = Kind::kSum;
-      sum.sign = Now().sign;
-      sum.span = left.span;
-      ++at_;
-      Value right = Sum(depth, its);
-      if (++sums_ > kMostSums) {
-        if (sums_ == kMostSums + 1) diagnostics_->Add("P003", sum.span, "too long a sum");
+  // Parses operators of a precedence above `min_precedence`, left-associatively.
+  Value ParseExpression(int depth, int min_precedence) {
+    Value left = ParseOperand(depth);
+    while (Precedence(Current()) > min_precedence && !Current().first_on_line) {
+      const int precedence = Precedence(Current());
+      Value binary;
+      binary.kind = ValueKind::kBinary;
+      binary.operation = Current().symbol;
+      binary.span = left.span;
+      ++position_;
+      Value right = ParseExpression(depth, precedence);
+      if (++operators_ > kMaxOperators) {
+        if (operators_ == kMaxOperators + 1)
+          diagnostics_->Add("P003", binary.span, "the expression has too many operators");
         continue;
       }
-      sum.parts.push_back(std::move(left));
-      sum.parts.push_back(std::move(right));
-      sum.span = Until(sum.span);
-      left = std::move(sum);
+      binary.children.push_back(std::move(left));
+      binary.children.push_back(std::move(right));
+      binary.span = SpanFrom(binary.span);
+      left = std::move(binary);
     }
-    if (rank == 0) sums_ = 0;
+    if (min_precedence == 0) operators_ = 0;
     return left;
   }
-  Value Factor(int depth) {
+  Value ParseOperand(int depth) {
     Value v;
-    v.span = Now().span;
-    const Token& token = Now();
-    if (token.word == Word::kNumber) {
-      v.kind = Kind::kNumber;
+    v.span = Current().span;
+    const Token& token = Current();
+    if (token.kind == TokenKind::kNumber) {
+      v.kind = ValueKind::kNumber;
       v.number = token.number;
       v.unit = token.unit;
       v.text = std::string(source_.Text(token.span));
-      ++at_;
-    } else if (token.word == Word::kString || token.word == Word::kName) {
-      v.kind = token.word == Word::kString ? Kind::kString : Kind::kName;
+      ++position_;
+    } else if (token.kind == TokenKind::kString || token.kind == TokenKind::kName) {
+      v.kind = token.kind == TokenKind::kString ? ValueKind::kString : ValueKind::kName;
       v.text = token.text;
-      ++at_;
-    } else if (depth >= kDeepest && (Is(token, '[') || Is(token, '(') || Is(token, '-'))) {
+      ++position_;
+    } else if (depth >= kMaxNestingDepth &&
+               (IsSymbol(token, '[') || IsSymbol(token, '(') || IsSymbol(token, '-'))) {
       diagnostics_->Add("P003", token.span,
-                        "values are nested more than " + std::to_string(kDeepest) + " deep");
-      if (Is(token, '-')) {
-        while (Is(Now(), '-')) ++at_;
+                        "values are nested more than " + std::to_string(kMaxNestingDepth) + " levels deep");
+      if (IsSymbol(token, '-')) {
+        while (IsSymbol(Current(), '-')) ++position_;
       } else {
         SkipNested();
       }
-    } else if (Is(token, '[')) {
-      List(depth, &v);
-    } else if (Is(token, '(')) {
-      ++at_;
-      v = Sum(depth + 1, 0);
-      if (!Take(')'))
-        diagnostics_->Add("P001", Now().span, ") was expected, not " + Found(), "close the bracket");
-    } else if (Is(token, '-')) {
-      ++at_;
-      v.kind = Kind::kNegation;
-      v.parts.push_back(Factor(depth + 1));
+    } else if (IsSymbol(token, '[')) {
+      ParseList(depth, &v);
+    } else if (IsSymbol(token, '(')) {
+      ++position_;
+      v = ParseExpression(depth + 1, 0);
+      if (!ConsumeSymbol(')'))
+        diagnostics_->Add("P001", Current().span, "expected ), found " + DescribeCurrent(),
+                          "close the parenthesis");
+    } else if (IsSymbol(token, '-')) {
+      ++position_;
+      v.kind = ValueKind::kNegation;
+      v.children.push_back(ParseOperand(depth + 1));
     } else {
-      diagnostics_->Add("P004", token.span, "a value was expected, not " + Found());
+      diagnostics_->Add("P004", token.span, "expected a value, found " + DescribeCurrent());
     }
-    v.span = Until(v.span);
+    v.span = SpanFrom(v.span);
     return v;
   }
-  void List(int depth, Value* v) {
-    v->kind = Kind::kList;
-    ++at_;
-    while (Now().word != Word::kEnd && !Is(Now(), ']') && !Is(Now(), '}')) {
-      if (Now().line_before && Now().word == Word::kName && Is(After(), '=')) break;  // its ] is missing
-      const std::size_t begun = at_;
-      std::vector<Remark> before;
-      Remarks(Now().span.from, &before);
-      if (!before.empty()) before.front().blank_before = false;
-      Value element = Sum(depth + 1, 0);
-      element.before = std::move(before);
-      const bool comma = Take(',');
-      Beside(&element.beside);
-      v->parts.push_back(std::move(element));
-      if (at_ == begun) break;  // nothing that could begin a value
+  void ParseList(int depth, Value* v) {
+    v->kind = ValueKind::kList;
+    ++position_;
+    while (Current().kind != TokenKind::kEnd && !IsSymbol(Current(), ']') && !IsSymbol(Current(), '}')) {
+      if (Current().first_on_line && Current().kind == TokenKind::kName && IsSymbol(PeekToken(), '='))
+        break;  // the ] is missing
+      const std::size_t start = position_;
+      std::vector<AttachedComment> leading_comments;
+      TakeComments(Current().span.begin, &leading_comments);
+      if (!leading_comments.empty()) leading_comments.front().blank_line_before = false;
+      Value element = ParseExpression(depth + 1, 0);
+      element.leading_comments = std::move(leading_comments);
+      const bool comma = ConsumeSymbol(',');
+      TakeTrailingComment(&element.trailing_comment);
+      v->children.push_back(std::move(element));
+      if (position_ == start) break;  // the current token cannot start a value
       if (!comma) break;
     }
-    Remarks(Now().span.from, &v->at_end);
-    if (!Take(']')) {
-      Diagnostic& d = diagnostics_->Add("P007", Now().span, "a comma or ] was expected, not " + Found(),
-                                        "close the list with ]");
-      d.notes.push_back({v->span, "it begins here"});
+    TakeComments(Current().span.begin, &v->closing_comments);
+    if (!ConsumeSymbol(']')) {
+      Diagnostic& d =
+          diagnostics_->Add("P007", Current().span, "expected a comma or ], found " + DescribeCurrent(),
+                            "close the list with ]");
+      d.notes.push_back({v->span, "it starts here"});
     }
   }
 
-  static constexpr int kMostSums = 200;  // of one value: what comes of them is a tree as deep
+  static constexpr int kMaxOperators = 200;  // per value; bounds the depth of the expression tree
 
   const Source& source_;
-  Words words_;
+  LexResult lexed_;
   Diagnostics* diagnostics_;
-  std::size_t at_ = 0, comment_ = 0;
-  int sums_ = 0;
+  std::size_t position_ = 0, next_comment_ = 0;
+  int operators_ = 0;
 };
 
 }  // namespace
@@ -309,7 +324,7 @@
 Document Parse(const Source& source, std::uint32_t file, Diagnostics* diagnostics) {
   const std::size_t before = diagnostics->all().size();
   Document document = Parser(source, file, diagnostics).Run();
-  diagnostics->Sort(before);  // the words of a text are read before its statements
+  diagnostics->SortFrom(before);  // lexer errors were all added before parser errors
   return document;
 }
 
--- a/src/config_language/parser.h
+++ b/src/config_language/parser.h
@@ -1,5 +1,5 @@
-// Words to statements. Errors are told and passed over at the next statement, so that one run tells of
-// several. Recursive descent with a bound on depth: no text, however nested, exhausts the stack.
+// Recursive-descent parser. It reports an error and continues at the next statement, so that one run reports
+// several errors. The nesting depth is bounded, so that no input exhausts the stack.
 #pragma once
 
 #include "config_language/diagnostic.h"
@@ -7,9 +7,10 @@
 
 namespace cluster_manager::config_language {
 
-constexpr int kDeepest = 32;
+constexpr int kMaxNestingDepth = 32;
 
-// All statements that could be read, also where there were errors.
+// Parses the source with the index `file`. Returns all statements that could be read, also if there were
+// errors.
 Document Parse(const Source& source, std::uint32_t file, Diagnostics* diagnostics);
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/resolver.h
+++ b/src/config_language/resolver.h
@@ -1,5 +1,4 @@
-// Texts to one program: includes are read and put in their place, constants and blocks are found by name.
-// Files come through a port, so that tests need no disk and a check and a load read the same bytes.
+// Loads a program from its first file: reads the included files, and collects settings, blocks and constants.
 #pragma once
 
 #include <map>
@@ -12,34 +11,37 @@
 
 namespace cluster_manager::config_language {
 
-class Files {
+// Access to files. An interface, so that tests need no disk and a check and a load read the same bytes.
+class FileSystem {
  public:
+  // The content of a file, nullopt if it cannot be read.
   virtual std::optional<std::string> Read(const std::string& path) = 0;
-  // Paths that fit the pattern (* stands for any characters but /), in any order.
+  // Paths that match the pattern (* stands for any characters except /), in any order.
   virtual std::vector<std::string> Glob(const std::string& pattern) = 0;
 
  protected:
-  ~Files() = default;
+  ~FileSystem() = default;
 };
 
-// Bounds of one program; each has its error.
-constexpr std::size_t kMostFiles = 256;
-constexpr std::size_t kMostIncludeDepth = 16;
+// Bounds of one program; exceeding one is reported with its own error code.
+constexpr std::size_t kMaxFiles = 256;
+constexpr std::size_t kMaxIncludeDepth = 16;
 constexpr std::size_t kMiB = std::size_t{1024} * 1024;
-constexpr std::size_t kMostFileBytes = 4 * kMiB;
-constexpr std::size_t kMostBytes = 16 * kMiB;
+constexpr std::size_t kMaxFileBytes = 4 * kMiB;
+constexpr std::size_t kMaxTotalBytes = 16 * kMiB;
 
 struct Program {
   std::vector<Source> sources;
-  std::vector<Statement> settings, blocks;  // of the outermost level, in the order in which they are read
+  std::vector<Statement> settings, blocks;  // at top level, in reading order
   std::map<std::string, Statement> constants;
 };
 
-// A file that several others include counts once; one that includes itself, by whatever way, is an error with
-// the way.
-Program Load(const std::string& path, Files* files, Diagnostics* diagnostics);
+// Loads the file at `path` and all files that it includes. A file that several others include is read once; a
+// cycle of includes is an error, and its message lists the cycle. The result holds all that could be read.
+Program Load(const std::string& path, FileSystem* file_system, Diagnostics* diagnostics);
 
-// "a/b.willow" and "c/*.willow" give "a/c/*.willow"; "." and ".." are taken out.
-std::string Beside(const std::string& file, const std::string& relative);
+// Resolves a path relative to the folder of `file`: "a/b.willow" and "c/*.willow" give "a/c/*.willow".
+// Removes "." and "..".
+std::string ResolvePath(const std::string& file, const std::string& relative);
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/source.h
+++ b/src/config_language/source.h
@@ -1,9 +1,9 @@
-// The operators' language: text in, checked configuration out. This room owns the texts, their errors, the
-// syntax and its one written form; it knows no socket and no setting of the platform. The grammar is
-// docs/reference/language.md.
+// The configuration language: from source text to a checked configuration. This module owns the source texts,
+// diagnostics, syntax, evaluation and formatting. It uses no sockets and knows none of the cluster manager's
+// settings. The grammar is in docs/reference/language.md.
 //
-// Here: a text and places in it. Places are byte offsets; lines and columns are worked out when somebody
-// asks.
+// This file: source texts and places in them. Places are stored as byte offsets; lines and columns are
+// computed on demand.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,18 @@
 
 namespace cluster_manager::config_language {
 
+// A range of bytes [begin, end) in a source.
 struct Span {
-  std::uint32_t file = 0;  // its number among the sources
-  std::uint32_t from = 0, to = 0;
+  std::uint32_t file = 0;  // index into the list of sources
+  std::uint32_t begin = 0, end = 0;
 };
 
-struct Place {
+// Both count from 1.
+struct Position {
   std::size_t line = 1, column = 1;  // column: in characters, not bytes
 };
 
+// The text of one file.
 class Source {
  public:
   Source(std::string path, std::string text);
@@ -30,14 +33,16 @@
   const std::string& path() const { return path_; }
   std::string_view text() const { return text_; }
   std::string_view Text(const Span& span) const {
-    return std::string_view(text_).substr(span.from, span.to - span.from);
+    return std::string_view(text_).substr(span.begin, span.end - span.begin);
   }
-  Place At(std::size_t offset) const;
-  std::string_view Line(std::size_t number) const;  // from 1, without its end
+  // Offsets past the end mean the end.
+  Position PositionAt(std::size_t offset) const;
+  // The line with this number, from 1, without its line break; empty if there is no such line.
+  std::string_view LineText(std::size_t number) const;
 
  private:
   std::string path_, text_;
-  std::vector<std::size_t> lines_;  // where each begins
+  std::vector<std::size_t> line_starts_;  // offsets
 };
 
 }  // namespace cluster_manager::config_language
--- a/src/config_language/syntax.h
+++ b/src/config_language/syntax.h
@@ -1,4 +1,4 @@
-// What a text says, as it is written: statements, blocks and values, with their places and comments.
+// The syntax tree: statements, blocks and values as written, with their spans and comments.
 #pragma once
 
 #include <string>
@@ -9,43 +9,45 @@
 
 namespace cluster_manager::config_language {
 
-enum class Kind { kNumber, kString, kName, kList, kNegation, kSum, kBroken };
+enum class ValueKind { kNumber, kString, kName, kList, kNegation, kBinary, kInvalid };
 
-struct Remark {  // a comment where it is written again
+// A comment as the formatter writes it again.
+struct AttachedComment {
   std::string text;
-  bool blank_before = false;
+  bool blank_line_before = false;
 };
 
 struct Value {
-  Kind kind = Kind::kBroken;  // broken: an error has been told of it
+  ValueKind kind = ValueKind::kInvalid;  // kInvalid: an error has been reported for it
   Span span;
   double number = 0;
   const Unit* unit = nullptr;
-  std::string text;            // of a string or name
-  char sign = 0;               // of a sum: + - * /
-  std::vector<Value> parts;    // of a list; of a sum, two; of a negation, one
-  std::vector<Remark> before;  // of an element of a list
-  std::string beside;
-  std::vector<Remark> at_end;  // of a list: before its ]
+  std::string text;             // of a string or name; of a number as written
+  char operation = 0;           // of a binary expression: + - * /
+  std::vector<Value> children;  // elements of a list; two operands of a binary expression; one of a negation
+  std::vector<AttachedComment> leading_comments;  // of an element of a list
+  std::string trailing_comment;
+  std::vector<AttachedComment> closing_comments;  // of a list: before its ]
 };
 
 struct Statement {
   enum class Form { kInclude, kLet, kSetting, kBlock } form = Form::kSetting;
   Span span, name_span, kind_span;
   std::string kind;  // of a block
-  std::string name;  // of a let, setting or block; of an include its path
+  std::string name;  // of a let, setting or block; the path of an include
   Value value;       // of a let or setting
   std::vector<Statement> body;
-  std::vector<Remark> before;
-  std::string beside;          // a comment on its line
-  std::vector<Remark> at_end;  // of a block: before its }
-  bool blank_before = false;   // above its comments, or it where it has none
-  bool blank_after = false;    // between its comments and it
+  std::vector<AttachedComment> leading_comments;
+  std::string trailing_comment;                   // a comment on the same line
+  std::vector<AttachedComment> closing_comments;  // of a block: before its }
+  bool blank_line_before = false;          // before its leading comments, or before it if there are none
+  bool blank_line_after_comments = false;  // between its leading comments and it
 };
 
+// The content of one file.
 struct Document {
   std::vector<Statement> statements;
-  std::vector<Remark> at_end;
+  std::vector<AttachedComment> closing_comments;
 };
 
 }  // namespace cluster_manager::config_language
--- a/tests/lang_test.cpp
+++ b/tests/config_language_test.cpp
@@ -1,4 +1,4 @@
-// The operators' language: words, statements, errors with their places and fixes, and the one written form.
+// The configuration language: lexer, parser, diagnostics with their places and fixes, and the formatter.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 namespace cluster_manager::config_language {
 namespace {
 
-struct Reading {
-  explicit Reading(std::string text) {
+struct ParsedText {
+  explicit ParsedText(std::string text) {
     sources.emplace_back("pools.willow", std::move(text));
     document = Parse(sources[0], 0, &diagnostics);
   }
@@ -27,8 +27,8 @@
   Document document;
 };
 
-TEST_CASE("a text becomes blocks, settings and values") {
-  const Reading r(
+TEST_CASE("config language: a text is parsed into blocks and settings and values") {
+  const ParsedText r(
       "include \"more/*.willow\"\n"
       "let quick = 800ms\n"
       "pool hall-b {  # the near one\n"
@@ -47,21 +47,21 @@
   CHECK(all[2].kind == "pool");
   CHECK(all[2].name == "hall-b");
   REQUIRE(all[2].body.size() == 4);
-  CHECK(all[2].body[0].value.parts.size() == 2);
+  CHECK(all[2].body[0].value.children.size() == 2);
   CHECK(all[2].body[1].value.unit->dimension == Dimension::kShare);
   CHECK(FormatValue(all[2].body[2].value) == "(2 + 3) * quick");
   CHECK(all[2].body[3].name == "two words");
 }
 
-struct Bad {
+struct InvalidText {
   const char* text;
   const char* codes;
   std::size_t line, column;
-  const char* fix;  // part of it
+  const char* fix;  // a part of the fix
 };
 
-TEST_CASE("each error has its code, its place and, where there is one, its fix") {
-  const Bad all[] = {
+TEST_CASE("config language: each error has its code and place and its fix if there is one") {
+  const InvalidText all[] = {
       {"pool a {\n  wait = 800sec\n}\n", "L006", 2, 13, "write 800s"},
       {"let a = 4GB\n", "L006", 1, 10, "write 4GiB"},
       {"let a = 5mms\n", "L006", 1, 10, "write 5ms"},
@@ -69,17 +69,17 @@
       {"let a = 2core\n", "L006", 1, 10, "write 2cores"},
       {"let a = 3%%\n", "L001", 1, 11, ""},
       {"let a = 1.2.3\n", "L007", 1, 9, ""},
-      {"let a = \"open\nlet b = 1\n", "L002", 1, 9, "put a \""},
+      {"let a = \"open\nlet b = 1\n", "L002", 1, 9, "closing \""},
       {"let a = \"\\q\"\n", "L005", 1, 10, "\\\\"},
       {"let a = 'x'\n", "L001 L001", 1, 9, "double quotes"},
-      {"let a = 1;\nlet b = 2\n", "L001", 1, 10, "end the line"},
-      {"let a = \x01 1\n", "L004", 1, 9, "take it out"},
+      {"let a = 1;\nlet b = 2\n", "L001", 1, 10, "start a new line"},
+      {"let a = \x01 1\n", "L004", 1, 9, "remove it"},
       {"let a = \"\xff\"\n", "L003", 1, 10, "UTF-8"},
       {"# \xc0\xaf overlong\nlet a = 1\n", "L003", 1, 3, "UTF-8"},
-      {"pool a {\n  x = 1\n", "P002", 3, 1, "write }"},
-      {"}\nlet a = 1\n", "P005", 1, 1, "take it out"},
-      {"pool a {\n  x =\n  y = 2\n}\n", "P004", 2, 3, "behind the ="},
-      {"let a =\n", "P004", 1, 5, "behind the ="},
+      {"pool a {\n  x = 1\n", "P002", 3, 1, "add }"},
+      {"}\nlet a = 1\n", "P005", 1, 1, "remove it"},
+      {"pool a {\n  x =\n  y = 2\n}\n", "P004", 2, 3, "after the ="},
+      {"let a =\n", "P004", 1, 5, "after the ="},
       {"pool a {\n  x = ]\n}\n", "P004", 2, 7, ""},
       {"pools hall-b\n", "P006", 1, 1, "write pools = VALUE"},
       {"let 5 = 3\n", "P006", 1, 1, "let = VALUE"},
@@ -87,25 +87,25 @@
       {"= 5\nlet a = 1\n", "P001", 1, 1, ""},
       {"let a = [1, 2\nlet b = 3\n", "P007", 2, 1, "close the list"},
       {"pool a {\n  x = [1 2]\n}\n", "P007 P001", 2, 10, "close the list"},
-      {"let a = (1 + 2\nlet b = 1\n", "P001", 2, 1, "close the bracket"},
+      {"let a = (1 + 2\nlet b = 1\n", "P001", 2, 1, "close the parenthesis"},
       {"let a = 1 +\n", "P004", 2, 1, ""},
   };
-  for (const Bad& bad : all) {
+  for (const InvalidText& bad : all) {
     CAPTURE(bad.text);
-    const Reading r(bad.text);
+    const ParsedText r(bad.text);
     REQUIRE(r.diagnostics.any());
     CHECK(r.Codes() == bad.codes);
     const Diagnostic& first = r.diagnostics.all()[0];
-    const Place place = r.sources[0].At(first.where.from);
+    const Position place = r.sources[0].PositionAt(first.span.begin);
     CHECK(place.line == bad.line);
     CHECK(place.column == bad.column);
     CHECK(first.fix.find(bad.fix) != std::string::npos);
-    CHECK(Explain(first.code) != nullptr);
+    CHECK(FindExplanation(first.code) != nullptr);
   }
 }
 
-TEST_CASE("one run tells of several errors, and of none that another one brought about") {
-  const Reading r(
+TEST_CASE("config language: one run reports several errors but no consequential errors") {
+  const ParsedText r(
       "pool a {\n"
       "  wait = 3sec\n"
       "  good = 1\n"
@@ -122,45 +122,45 @@
   CHECK(r.document.statements[2].body.size() == 1);
 }
 
-TEST_CASE("an error is shown with its line, a caret, the fix and where the trouble began") {
-  const Reading bad("pool a {\n  w\xc3\xa4it = 1\n  wait = 800sec\n");
+TEST_CASE("config language: a rendered error shows the line and a marker and the fix and notes") {
+  const ParsedText bad("pool a {\n  w\xc3\xa4it = 1\n  wait = 800sec\n");
   REQUIRE(bad.diagnostics.all().size() >= 2);
-  const Reading r("pool a {\n  wait = 800sec\n");
+  const ParsedText r("pool a {\n  wait = 800sec\n");
   REQUIRE(r.Codes() == "L006 P002");
   CHECK(Render(r.diagnostics.all()[0], r.sources) ==
-        "pools.willow:2:13: error L006: no unit is called 'sec'\n"
+        "pools.willow:2:13: error L006: unknown unit 'sec'\n"
         "  2 |   wait = 800sec\n"
         "    |             ^~~\n"
         "  fix: write 800s\n");
-  CHECK(Render(r.diagnostics.all()[1], r.sources).find("pools.willow:1:8: note: it begins here") !=
+  CHECK(Render(r.diagnostics.all()[1], r.sources).find("pools.willow:1:8: note: it starts here") !=
         std::string::npos);
 }
 
-TEST_CASE("what no person writes is told of and harms nobody") {
+TEST_CASE("config language: extremely nested or long or binary input is reported within bounds") {
   std::string deep;
   for (int i = 0; i < 100'000; ++i) deep += "a {";
-  CHECK(Reading(deep).Codes().find("P003") == 0);
-  CHECK(Reading(std::string(100'000, '{')).Codes() == "P001");
-  CHECK(Reading("let a = " + std::string(100'000, '[')).Codes().find("P003") != std::string::npos);
-  CHECK(Reading("let a = " + std::string(100'000, '(') + "1").Codes().find("P003") != std::string::npos);
-  CHECK(Reading("let a = " + std::string(100'000, '-') + "1").Codes().find("P003") != std::string::npos);
+  CHECK(ParsedText(deep).Codes().find("P003") == 0);
+  CHECK(ParsedText(std::string(100'000, '{')).Codes() == "P001");
+  CHECK(ParsedText("let a = " + std::string(100'000, '[')).Codes().find("P003") != std::string::npos);
+  CHECK(ParsedText("let a = " + std::string(100'000, '(') + "1").Codes().find("P003") != std::string::npos);
+  CHECK(ParsedText("let a = " + std::string(100'000, '-') + "1").Codes().find("P003") != std::string::npos);
   std::string sum = "let a = 1";
   for (int i = 0; i < 100'000; ++i) sum += " + 1";
-  CHECK(Reading(sum + "\n").Codes() == "P003");
-  const Reading line("let a = \"" + std::string(1'000'000, 'x') + "\" 5\nlet b = 1\n");
+  CHECK(ParsedText(sum + "\n").Codes() == "P003");
+  const ParsedText line("let a = \"" + std::string(1'000'000, 'x') + "\" 5\nlet b = 1\n");
   CHECK(line.Codes() == "P001");
   CHECK(Render(line.diagnostics.all()[0], line.sources).size() < 1000);
-  CHECK(Reading(std::string(1000, '\0')).Codes() == "L004");
-  CHECK(Reading("\xEF\xBB\xBFlet a = 1\r\npool b {\r\n}\r\n").Codes() == "");
+  CHECK(ParsedText(std::string(1000, '\0')).Codes() == "L004");
+  CHECK(ParsedText("\xEF\xBB\xBFlet a = 1\r\npool b {\r\n}\r\n").Codes() == "");
   std::string many;
   for (int i = 0; i < 5000; ++i) many += "let a = 1parsec\n";
-  const Reading r(many);
-  CHECK(r.diagnostics.all().size() == Diagnostics::kMost);
-  CHECK(r.diagnostics.dropped() == 5000 - Diagnostics::kMost);
-  CHECK(Reading("").Codes() == "");
+  const ParsedText r(many);
+  CHECK(r.diagnostics.all().size() == Diagnostics::kMaxDiagnostics);
+  CHECK(r.diagnostics.dropped() == 5000 - Diagnostics::kMaxDiagnostics);
+  CHECK(ParsedText("").Codes() == "");
 }
 
-TEST_CASE("the written form keeps every comment and stays as it is") {
+TEST_CASE("config language: formatting keeps every comment and is idempotent") {
   const std::string text =
       "# head\n\n\n# second\ninclude \"a\"   # which\n"
       "let a=1+2*( 3-4 )   # sum\n"
@@ -168,7 +168,7 @@
       "two\n # last\n]\n"
       "   # end of x\n}\n"
       "empty{}\n# tail\n";
-  const Reading r(text);
+  const ParsedText r(text);
   REQUIRE(r.Codes() == "");
   const std::string once = Format(r.document);
   CHECK(once ==
@@ -178,13 +178,13 @@
         "  c = [\n    # first\n    1,  # one\n    # above two\n    2,  # two\n    # last\n  ]\n"
         "  # end of x\n}\n"
         "\nempty {}\n# tail\n");
-  CHECK(Format(Reading(once).document) == once);
+  CHECK(Format(ParsedText(once).document) == once);
 }
 
-// Random texts: what is written of them is read as the same, and written again is the same.
-class Writer {
+// Generates random valid texts.
+class RandomTextGenerator {
  public:
-  explicit Writer(unsigned seed) : random_(seed) {}
+  explicit RandomTextGenerator(unsigned seed) : random_(seed) {}
   std::string Text() {
     std::string out;
     for (int i = Below(8) + 1; i > 0; --i) out += Statement(0);
@@ -264,41 +264,42 @@
   return all;
 }
 
-std::vector<std::string> WordsOf(const std::string& text) {
+std::vector<std::string> TokensOf(const std::string& text) {
   const Source source("x", text);
   Diagnostics none;
   std::vector<std::string> all;
   for (const Token& t : Lex(source, 0, &none).tokens) {
-    // Commas and brackets may come and go with the form; what is said may not.
-    if (t.word == Word::kSign && std::string_view(",()").find(t.sign) != std::string_view::npos) continue;
-    all.push_back(t.word == Word::kString ? "\"" + t.text : std::string(source.Text(t.span)));
+    // Formatting may add or remove commas and parentheses, but no other tokens.
+    if (t.kind == TokenKind::kSymbol && std::string_view(",()").find(t.symbol) != std::string_view::npos)
+      continue;
+    all.push_back(t.kind == TokenKind::kString ? "\"" + t.text : std::string(source.Text(t.span)));
   }
   return all;
 }
 
-TEST_CASE("texts at random: written again they are the same, say the same, and keep their comments") {
+TEST_CASE("config language: formatting of random texts is idempotent and keeps tokens and comments") {
   int read = 0;
   for (unsigned seed = 1; seed <= 3000; ++seed) {
-    const std::string text = Writer(seed).Text();
+    const std::string text = RandomTextGenerator(seed).Text();
     CAPTURE(seed);
-    const Reading r(text);
+    const ParsedText r(text);
     REQUIRE_MESSAGE(r.Codes() == "", text);
     const std::string once = Format(r.document);
-    const Reading again(once);
+    const ParsedText again(once);
     REQUIRE_MESSAGE(again.Codes() == "", once);
     REQUIRE_MESSAGE(Format(again.document) == once, once << "-----\n" << Format(again.document));
     REQUIRE_MESSAGE(CommentsOf(once) == CommentsOf(text), text << "-----\n" << once);
-    REQUIRE_MESSAGE(WordsOf(once) == WordsOf(text), text << "-----\n" << once);
+    REQUIRE_MESSAGE(TokensOf(once) == TokensOf(text), text << "-----\n" << once);
     read += static_cast<int>(r.document.statements.size());
   }
   CHECK(read > 9000);
 }
 
-TEST_CASE("texts broken at random end in errors or in nothing, never in a fault") {
+TEST_CASE("config language: randomly corrupted texts give errors or parse but never crash") {
   std::mt19937 random(99);
   int bad = 0;
   for (unsigned seed = 1; seed <= 1500; ++seed) {
-    std::string text = Writer(seed).Text();
+    std::string text = RandomTextGenerator(seed).Text();
     for (int i = 0; i < 3; ++i) {
       const std::size_t at = random() % (text.size() + 1);
       switch (random() % 4) {
@@ -315,23 +316,23 @@
           if (at < text.size()) text[at] = static_cast<char>(random());
       }
     }
-    const Reading r(text);
+    const ParsedText r(text);
     bad += r.diagnostics.any();
     for (const Diagnostic& d : r.diagnostics.all()) {
-      REQUIRE(d.where.from <= text.size());
-      REQUIRE(Explain(d.code) != nullptr);
+      REQUIRE(d.span.begin <= text.size());
+      REQUIRE(FindExplanation(d.code) != nullptr);
       REQUIRE_FALSE(Render(d, r.sources).empty());
     }
   }
   CHECK(bad > 700);
 }
 
-TEST_CASE("what was probably meant is near, or nothing is said") {
+TEST_CASE("config language: only a similar word is suggested") {
   const std::vector<std::string_view> words = {"halls", "kinds", "racks", "labels"};
-  CHECK(Nearest("hals", words) == "halls");
-  CHECK(Nearest("knids", words) == "kinds");
-  CHECK(Nearest("elephant", words) == "");
-  CHECK(Nearest(std::string(1000, 'x'), words) == "");
+  CHECK(ClosestWord("hals", words) == "halls");
+  CHECK(ClosestWord("knids", words) == "kinds");
+  CHECK(ClosestWord("elephant", words) == "");
+  CHECK(ClosestWord(std::string(1000, 'x'), words) == "");
 }
 
 }  // namespace
