--- a/src/config_language/diagnostic.cpp
+++ b/src/config_language/diagnostic.cpp
@@ -108,9 +108,8 @@
 const std::vector<Explanation>& Explanations() {
   static const std::vector<Explanation> kAll = {
       {"L001", "unexpected character",
-       "Outside of strings and comments, a text consists of names, numbers, strings and the symbols { } [ ] "
-       "( ) "
-       "= , + - * /.\n"
+       "Outside of strings and comments, a text consists of names, numbers, strings and the "
+       "symbols { } [ ] ( ) = , + - * /.\n"
        "A comment starts with #. Strings are written between double quotes."},
       {"L002", "unterminated string",
        "A string starts and ends with \" on the same line. A quote inside of it is written \\\"."},
@@ -127,17 +126,16 @@
       {"P002", "unclosed block",
        "Each { of a block needs a matching }. The note shows where the block starts."},
       {"P003", "nested too deeply",
-       "Blocks, lists and parentheses can be nested 32 levels deep, and an expression can have 200 "
-       "operators."},
+       "Blocks, lists and parentheses can be nested 32 levels deep, and an expression can "
+       "have 200 operators."},
       {"P004", "missing value",
        "A = must be followed by a value: a number with its unit, a string, a name or a list."},
       {"P005", "unmatched }", "There are more } than blocks."},
       {"P006", "name without = or {", "A setting is written NAME = VALUE, a block KIND NAME { ... }."},
       {"P007", "unclosed list", "A list is written [a, b, c]; a comma after the last element is allowed."},
       {"R001", "unreadable file",
-       "Paths of includes are relative to the file that contains them. The program needs read permission for "
-       "the "
-       "file."},
+       "Paths of includes are relative to the file that contains them. The program needs read "
+       "permission for the file."},
       {"R002", "circular includes",
        "The message shows the whole cycle. A file may be included by several others; it is read once."},
       {"R003", "includes nested too deeply", "A file can be at most 16 includes away from the first file."},
@@ -145,8 +143,8 @@
       {"R005", "file too large", "A file can have at most 4 MiB, all files together at most 16 MiB."},
       {"R006", "pattern without a match", "In the path of an include, * stands for any characters except /."},
       {"R007", "include or let inside a block",
-       "Includes and constants are allowed at top level only, because they apply to the whole "
-       "configuration."},
+       "Includes and constants are allowed at top level only, because they apply to the "
+       "whole configuration."},
       {"R008", "duplicate definition",
        "A name can be defined once in a configuration; the note shows the first definition."},
       {"R010", "circular constants",
@@ -154,9 +152,8 @@
       {"R011", "constants nested too deeply",
        "A constant can depend on others over at most 64 steps. Replace one of them by a value."},
       {"T001", "incompatible quantities",
-       "Only quantities of the same kind can be added and subtracted. In a product, one of the two must be a "
-       "plain "
-       "number;\n"
+       "Only quantities of the same kind can be added and subtracted. In a product, one of the two must "
+       "be a plain number;\n"
        "the quotient of two quantities of the same kind is a plain number."},
       {"T002", "arithmetic on something that is not a number",
        "Only numbers and quantities can be used in arithmetic."},
