--- a/src/clients/request_parser.cpp
+++ b/src/clients/request_parser.cpp
@@ -40,8 +40,9 @@
   const std::string_view key = message.Get(Code::kKey);
   const std::string_view description = message.Get(Code::kDescription);
   ForwardedPayload payload;
-  payload.bytes = Blocks().Make(protocol::ParameterBytes(class_name) + protocol::ParameterBytes(name) +
-                                protocol::ParameterBytes(key) + protocol::ParameterBytes(description));
+  payload.bytes =
+      SharedBlockPool().Allocate(protocol::ParameterBytes(class_name) + protocol::ParameterBytes(name) +
+                                 protocol::ParameterBytes(key) + protocol::ParameterBytes(description));
   protocol::AppendParameter(&payload.bytes, Code::kClass, class_name);
   payload.class_end = payload.bytes.size();
   protocol::AppendParameter(&payload.bytes, Code::kName, name);
--- a/src/containers/block_pool.h
+++ b/src/containers/block_pool.h
@@ -1,6 +1,6 @@
-// Blocks of bytes that several parts refer to until the last of them is done: a set-up's description, kept by
-// its request and by every write queue that it stands in, is copied once, into one of these. Blocks that were
-// let go are kept for the next, up to a bound. One thread.
+// Reference-counted byte blocks from a pool. A task description is copied once into a block, which its
+// request and every write queue that holds it then share. Released blocks are kept for reuse up to a bound.
+// Not thread-safe: a pool and its blocks belong to one thread.
 #pragma once
 
 #include <array>
@@ -11,13 +11,15 @@
 
 namespace cluster_manager {
 
+// Allocates blocks and keeps released ones in one free list per size class. Must outlive its blocks.
 class BlockPool {
   struct Block;
 
  public:
-  // Of blocks that wait to be used again.
-  static constexpr std::size_t kMostIdleBytes = std::size_t{256} * 1024;
+  // Bound on the total capacity of released blocks that are kept for reuse.
+  static constexpr std::size_t kMaxIdleBytes = std::size_t{256} * 1024;
 
+  // A counted reference to a block. The block returns to its pool with the last reference.
   class Ref {
    public:
     Ref() = default;
@@ -30,13 +32,14 @@
       return *this;
     }
     ~Ref() {
-      if (block_ != nullptr && --block_->refs == 0) block_->pool->LetGo(block_);
+      if (block_ != nullptr && --block_->refs == 0) block_->pool->Release(block_);
     }
 
-    // Room for `size` bytes, of which Append fills more and more.
+    // The bytes appended so far. An empty reference has none.
     char* data() const { return block_ == nullptr ? nullptr : block_->bytes(); }
     std::size_t size() const { return block_ == nullptr ? 0 : block_->used; }
     std::string_view view() const { return {data(), size()}; }
+    // Bytes beyond the block's capacity are dropped. The reference must not be empty.
     void Append(std::string_view bytes);
 
    private:
@@ -50,9 +53,9 @@
   BlockPool(const BlockPool&) = delete;
   BlockPool& operator=(const BlockPool&) = delete;
 
-  // A block with room for `size` bytes, empty so far.
-  Ref Make(std::size_t size);
-  std::size_t live() const { return live_; }  // blocks that somebody refers to
+  // Returns an empty block with a capacity of at least `size` bytes.
+  Ref Allocate(std::size_t size);
+  std::size_t live() const { return live_; }  // number of referenced blocks
   std::size_t idle_bytes() const { return idle_bytes_; }
 
  private:
@@ -60,18 +63,18 @@
 
   struct Block {
     BlockPool* pool;
-    Block* next;  // idle blocks of its size
-    std::uint32_t refs, room, used, kind;
+    Block* next;  // in the free list of its size class
+    std::uint32_t refs, capacity, used, size_class;
     char* bytes() { return reinterpret_cast<char*>(this + 1); }
   };
 
-  void LetGo(Block* block);
+  void Release(Block* block);
 
   std::array<Block*, kSizes.size()> idle_{};
   std::size_t live_ = 0, idle_bytes_ = 0;
 };
 
-// The process's pool: what it holds outlives every connection and request.
-BlockPool& Blocks();
+// The pool of the process. It is destroyed after every connection and request.
+BlockPool& SharedBlockPool();
 
 }  // namespace cluster_manager
--- a/src/containers/log_buckets.cpp
+++ b/src/containers/log_buckets.cpp
@@ -8,16 +8,16 @@
 
 using Time = LogBuckets::Time;
 
-const std::array<Time, LogBuckets::kBuckets>& Uppers() {
-  static const auto kUppers = [] {
+const std::array<Time, LogBuckets::kBuckets>& UpperBounds() {
+  static const auto kBounds = [] {
     std::array<Time, LogBuckets::kBuckets> all{};
     for (int i = 0; i < LogBuckets::kBuckets; ++i) {
       all[static_cast<std::size_t>(i)] =
-          std::llround(static_cast<double>(LogBuckets::kLeast) * std::pow(LogBuckets::kGamma, i));
+          std::llround(static_cast<double>(LogBuckets::kSmallestBound) * std::pow(LogBuckets::kGamma, i));
     }
     return all;
   }();
-  return kUppers;
+  return kBounds;
 }
 
 bool IsEmpty(const BucketCounts::Entry& entry) {
@@ -26,25 +26,25 @@
 
 }  // namespace
 
-int LogBuckets::Of(Time value) {
-  const auto& uppers = Uppers();
+int LogBuckets::IndexOf(Time value) {
+  const auto& bounds = UpperBounds();
   return static_cast<int>(
-      std::min<std::ptrdiff_t>(std::ranges::lower_bound(uppers, value) - uppers.begin(), kBuckets - 1));
+      std::min<std::ptrdiff_t>(std::ranges::lower_bound(bounds, value) - bounds.begin(), kBuckets - 1));
 }
 
-Time LogBuckets::Upper(int bucket) { return Uppers()[static_cast<std::size_t>(bucket)]; }
+Time LogBuckets::UpperBound(int bucket) { return UpperBounds()[static_cast<std::size_t>(bucket)]; }
 
-Time LogBuckets::Middle(int bucket) {
-  return std::llround(static_cast<double>(Upper(bucket)) * (1 - kError));
+Time LogBuckets::Midpoint(int bucket) {
+  return std::llround(static_cast<double>(UpperBound(bucket)) * (1 - kRelativeError));
 }
 
 bool BucketCounts::Add(int bucket, Kind kind, std::uint32_t weight) {
-  const auto at = static_cast<std::uint32_t>(bucket);
-  auto it = std::ranges::lower_bound(entries_, at, {}, &Entry::bucket);
-  if (it == entries_.end() || it->bucket != at) it = entries_.insert(it, {at, {}});
-  std::uint32_t& is = it->weight[kind];
-  const bool fits = weight <= kMost - is;
-  is = fits ? is + weight : kMost;
+  const auto index = static_cast<std::uint32_t>(bucket);
+  auto it = std::ranges::lower_bound(entries_, index, {}, &Entry::bucket);
+  if (it == entries_.end() || it->bucket != index) it = entries_.insert(it, {index, {}});
+  std::uint32_t& current = it->weight[kind];
+  const bool fits = weight <= kMaxWeight - current;
+  current = fits ? current + weight : kMaxWeight;
   return fits;
 }
 
@@ -58,28 +58,28 @@
 void BucketCounts::Halve(int times) {
   times = std::clamp(times, 0, 31);
   for (Entry& entry : entries_) {
-    entry.weight[kExits] >>= times;
+    entry.weight[kCompleted] >>= times;
     entry.weight[kCensored] >>= times;
   }
   std::erase_if(entries_, IsEmpty);
 }
 
-int BucketCounts::Take(std::vector<Entry> entries) {
-  int cut = 0;
+int BucketCounts::Assign(std::vector<Entry> entries) {
+  int corrected = 0;
   entries_.clear();
   for (Entry& entry : entries) {
     const bool in_order = entries_.empty() || entries_.back().bucket < entry.bucket;
     if (entry.bucket >= LogBuckets::kBuckets || !in_order) {
-      ++cut;
+      ++corrected;
       continue;
     }
     for (std::uint32_t& weight : entry.weight) {
-      cut += weight > kMost;
-      weight = std::min(weight, kMost);
+      corrected += weight > kMaxWeight;
+      weight = std::min(weight, kMaxWeight);
     }
     if (!IsEmpty(entry)) entries_.push_back(entry);
   }
-  return cut;
+  return corrected;
 }
 
 }  // namespace cluster_manager
--- a/src/containers/log_buckets.h
+++ b/src/containers/log_buckets.h
@@ -1,10 +1,12 @@
-// Buckets of a logarithmic scale for durations, and counts in them: the base of a quantile sketch whose
-// answers are off by at most a known share of the value, after DDSketch (Masson, Rim, Lee 2019).
+// Logarithmic buckets for durations and weighted counts in them: the basis of a quantile sketch with a
+// bounded relative error, after DDSketch (Masson, Rim, Lee 2019).
 //
-// Bucket i holds (Upper(i - 1), Upper(i)], Upper(i) = kLeast * gamma^i, gamma = (1 + kError) / (1 - kError);
-// bucket 0 also what is below. Middle(i) is within kError of everything in bucket i, i > 0. The number of
-// buckets is fixed: 10 ms to 25 days; a value outside goes to the first or the last one, and IsOutside says
-// so. Sketches of the same scale are merged by adding counts, so merging commutes exactly.
+// Bucket i holds (UpperBound(i - 1), UpperBound(i)], with UpperBound(i) = kSmallestBound * gamma^i and
+// gamma = (1 + kRelativeError) / (1 - kRelativeError); bucket 0 also holds all smaller values. For i > 0,
+// Midpoint(i) is within kRelativeError of every value in bucket i. The number of buckets is fixed, which
+// covers 10 ms to 25 days. Larger values are counted in the last bucket; IsOutside reports values out of the
+// range. Sketches of the same scale are merged by adding their counts, so the result does not depend on the
+// order.
 #pragma once
 
 #include <array>
@@ -15,43 +17,48 @@
 
 namespace cluster_manager {
 
+// The bucket boundaries.
 class LogBuckets {
  public:
   using Time = std::int64_t;  // nanoseconds
   static constexpr int kBuckets = 192;
-  static constexpr double kError = 0.05;
-  static constexpr double kGamma = (1 + kError) / (1 - kError);
-  static constexpr Time kLeast = 10'000'000;
-
-  static int Of(Time value);
-  static Time Upper(int bucket);
-  static Time Lower(int bucket) { return bucket == 0 ? 0 : Upper(bucket - 1); }
-  static Time Middle(int bucket);
-  static bool IsOutside(Time value) { return value < 0 || value > Upper(kBuckets - 1); }
+  static constexpr double kRelativeError = 0.05;
+  static constexpr double kGamma = (1 + kRelativeError) / (1 - kRelativeError);
+  static constexpr Time kSmallestBound = 10'000'000;
+
+  // The bucket that counts the value.
+  static int IndexOf(Time value);
+  static Time UpperBound(int bucket);
+  static Time LowerBound(int bucket) { return bucket == 0 ? 0 : UpperBound(bucket - 1); }
+  static Time Midpoint(int bucket);
+  static bool IsOutside(Time value) { return value < 0 || value > UpperBound(kBuckets - 1); }
 };
 
-// Weights by bucket, only where there are any. A weight is in units of which kOne is one observation;
-// halving rounds down, so an observation is forgotten after log2(kOne) + 1 halvings, and halving twice by
-// one is halving once by two: when it is done makes no difference.
+// Sparse weights by bucket. kUnitWeight stands for one observation. Halving rounds down: an observation is
+// forgotten after log2(kUnitWeight) + 1 halvings, and halving in several steps gives the same weights as
+// halving in one, so it does not matter when halvings are applied.
 class BucketCounts {
  public:
-  static constexpr std::uint32_t kOne = 1024;
-  static constexpr std::uint32_t kMost = 1U << 30;  // of a weight: about a million observations
-  enum Kind { kExits, kCensored, kStanding, kKinds };
+  static constexpr std::uint32_t kUnitWeight = 1024;
+  static constexpr std::uint32_t kMaxWeight = 1U << 30;  // bound of one weight: about a million observations
+  // Completed tasks, censored observations and running tasks.
+  enum Kind { kCompleted, kCensored, kRunning, kKindCount };
   struct Entry {
     std::uint32_t bucket = 0;
-    std::array<std::uint32_t, kKinds> weight{};
+    std::array<std::uint32_t, kKindCount> weight{};
     auto operator<=>(const Entry&) const = default;  // NOLINT(modernize-use-nullptr): no pointer here
   };
 
-  // False where the weight met its bound.
-  bool Add(int bucket, Kind kind, std::uint32_t weight = kOne);
-  void Remove(int bucket, Kind kind, std::uint32_t weight = kOne);
-  // kStanding is what is there now and does not fade.
+  // Returns false if the weight was limited to kMaxWeight.
+  bool Add(int bucket, Kind kind, std::uint32_t weight = kUnitWeight);
+  // Removes at most the weight that is there.
+  void Remove(int bucket, Kind kind, std::uint32_t weight = kUnitWeight);
+  // Halves the weights except those of kRunning, which count the tasks running now.
   void Halve(int times);
-  // Sorted by bucket, each bucket once, no weight over its bound: as others must be before they are taken.
-  // Returns how many entries or weights had to be dropped or cut for it.
-  int Take(std::vector<Entry> entries);
+  // Replaces the entries with those of another process. Entries with an invalid bucket or out of order are
+  // dropped and weights above kMaxWeight are limited. Returns the number of such corrections.
+  int Assign(std::vector<Entry> entries);
+  // Sorted by bucket, without duplicates.
   const std::vector<Entry>& entries() const { return entries_; }
   bool empty() const { return entries_.empty(); }
   std::size_t bytes() const { return sizeof *this + entries_.capacity() * sizeof(Entry); }
--- a/src/containers/slot_table.h
+++ b/src/containers/slot_table.h
@@ -1,5 +1,5 @@
-// A table of numbered slots. A handle is a slot's index and the generation of its tenant, so that a handle
-// kept past its tenant's end finds nothing instead of the next tenant.
+// A table of values in numbered slots. A handle combines the index of a slot with the generation of its
+// value, so that a handle of an erased value finds nothing, even after the slot has been reused.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 
 namespace cluster_manager {
 
-using Handle = std::uint64_t;  // 0: none
+using Handle = std::uint64_t;  // 0: no value
 
+// Owns its values. Freed slots are reused.
 template <typename T>
 class SlotTable {
  public:
@@ -28,7 +29,7 @@
     ++size_;
     return Pack(index, slot.generation);
   }
-  // Valid until the next Insert or Erase.
+  // Returns null if the value was erased. The pointer is valid until the next Insert or Erase.
   T* Get(Handle handle) {
     const std::uint32_t index = static_cast<std::uint32_t>(handle);
     if (handle == 0 || index >= slots_.size()) return nullptr;
@@ -36,6 +37,7 @@
     return slot.value && Pack(index, slot.generation) == handle ? &*slot.value : nullptr;
   }
   const T* Get(Handle handle) const { return const_cast<SlotTable*>(this)->Get(handle); }
+  // Returns false if the handle has no value.
   bool Erase(Handle handle) {
     if (Get(handle) == nullptr) return false;
     const std::uint32_t index = static_cast<std::uint32_t>(handle);
@@ -46,7 +48,7 @@
     return true;
   }
   std::size_t size() const { return size_; }
-  // Calls visit(handle, value). The visit may not insert or erase.
+  // Calls visit(handle, value) for each value. `visit` must not insert or erase.
   template <typename Visit>
   void ForEach(Visit visit) {
     for (std::uint32_t i = 0; i < slots_.size(); ++i) {
--- a/src/containers/tables.h
+++ b/src/containers/tables.h
@@ -1,5 +1,5 @@
-// Tables that the rooms above share: numbered slots found by a key, and objects that stay where they are,
-// found by key, ordered by key, and numbered for an index.
+// Keyed tables: one with values in numbered slots, and one whose objects have stable addresses, a sorted
+// order and a small slot number for use in an index.
 #pragma once
 
 #include <algorithm>
@@ -13,16 +13,17 @@
 
 namespace cluster_manager {
 
-// Values in numbered slots, each under a number that its owner chose. A pointer is good until the next
-// Insert.
+// Values in numbered slots, found by keys that the caller chooses. Pointers are valid until the next Insert
+// or Erase.
 template <typename Key, typename T>
-class NamedTable {
+class KeyedTable {
  public:
+  // Returns null if there is no such key.
   T* Find(Key key) {
     const auto it = handles_.find(key);
     return it == handles_.end() ? nullptr : slots_.Get(it->second);
   }
-  // What stood under the key before is gone.
+  // Replaces the previous value of the key.
   T* Insert(Key key, T value) {
     Erase(key);
     const Handle handle = slots_.Insert(std::move(value));
@@ -35,19 +36,20 @@
     slots_.Erase(it->second);
     handles_.erase(it);
   }
-  template <typename Visit>  // visit(value), in no order to rely on
+  template <typename Visit>  // visit(value), in unspecified order
   void ForEach(Visit visit) {
     slots_.ForEach([&](Handle, T& value) { visit(value); });
   }
   std::size_t size() const { return slots_.size(); }
-  void Shrink() { Tighten(&handles_); }
+  // Releases excess memory, see ShrinkIfSparse.
+  void Shrink() { ShrinkIfSparse(&handles_); }
 
  private:
   SlotTable<T> slots_;
   NumberMap<Key, Handle> handles_;
 };
 
-// Objects that stay where they are until they are erased. `slot` numbers are small and used again.
+// Objects with stable addresses until they are erased. `slot` numbers are dense and reused.
 template <typename Key, typename T>
 class OrderedTable {
  public:
@@ -56,6 +58,7 @@
     std::uint32_t slot = 0;
   };
 
+  // Returns null if there is no such key.
   Member* Find(Key key) const {
     const auto it = by_key_.find(key);
     return it == by_key_.end() ? nullptr : it->second.get();
@@ -75,19 +78,19 @@
     ordered_.insert(std::ranges::upper_bound(ordered_, key, {}, [](const Member* o) { return o->key; }), m);
     return m;
   }
-  template <typename Which>  // which(member): true where it is to go
-  void EraseIf(Which which) {
+  template <typename Predicate>  // predicate(member): true if it is to be erased
+  void EraseIf(Predicate predicate) {
     std::erase_if(ordered_, [&](Member* m) {
-      if (!which(m)) return false;
+      if (!predicate(m)) return false;
       by_slot_[m->slot] = nullptr;
       free_.push_back(m->slot);
       by_key_.erase(m->key);
       return true;
     });
-    Tighten(&by_key_);
+    ShrinkIfSparse(&by_key_);
   }
   Member* at_slot(std::uint32_t slot) const { return by_slot_[slot]; }
-  const std::vector<Member*>& ordered() const { return ordered_; }  // by key
+  const std::vector<Member*>& ordered() const { return ordered_; }  // sorted by key
   std::size_t size() const { return ordered_.size(); }
 
  private:
--- a/src/containers/threads.h
+++ b/src/containers/threads.h
@@ -1,7 +1,6 @@
-// The policy by which code with threads is compiled: `template <class Threads> class ...` takes its mutexes,
-// conditions, threads, atomics and shared plain data from it. The program uses StdThreads, which is std and
-// costs nothing beyond it; tests/interleave puts CheckedThreads in its place and runs the same code through
-// every interleaving.
+// Threading policy: a `template <class Threads> class ...` takes its mutexes, condition variables, threads,
+// atomics and shared plain data from it. The program uses StdThreads, the standard library without overhead.
+// tests/interleave uses CheckedThreads instead and runs the same code through every interleaving.
 #pragma once
 
 #include <atomic>
@@ -12,6 +11,7 @@
 
 namespace cluster_manager {
 
+// The threading primitives of the standard library.
 struct StdThreads {
   using Mutex = std::mutex;
   using ConditionVariable = std::condition_variable;
@@ -19,7 +19,7 @@
   template <typename T>
   using Atomic = std::atomic<T>;
 
-  // Plain data that several threads reach under a lock: says which accesses read and which write.
+  // Plain data that threads access under a lock. Read and Write mark the kind of each access for the checker.
   template <typename T>
   class Shared {
    public:
@@ -32,7 +32,7 @@
     T value_{};
   };
 
-  // A name for a checker's traces.
+  // Names an object for the traces of a checker; does nothing here.
   template <typename T>
   static void Name(T&, const char*) {}
 };
--- a/src/nodes/node_connection_pool.cpp
+++ b/src/nodes/node_connection_pool.cpp
@@ -77,8 +77,8 @@
 void NodeConnectionPool::ForgetRemovedNodes() {
   for (auto it = nodes_.begin(); it != nodes_.end();) {
     NodeRecord& record = it->second;
-    Tighten(&record.sent_attempts);
-    Tighten(&record.running_tasks);
+    ShrinkIfSparse(&record.sent_attempts);
+    ShrinkIfSparse(&record.running_tasks);
     if (!IsForgettable(record)) {
       ++it;
       continue;
--- a/src/scheduling/contention_estimator.h
+++ b/src/scheduling/contention_estimator.h
@@ -16,8 +16,8 @@
 
   // To be called at the first event.
   void Start();
-  void RecordArrival() { arrivals_.Note(context_.now); }
-  void RecordTaskEnd() { ends_.Note(context_.now); }
+  void RecordArrival() { arrivals_.Record(context_.now); }
+  void RecordTaskEnd() { ends_.Record(context_.now); }
   // Placements by other schedulers that the view does not show.
   double UnseenPlacements() const;
   // Requests pending at other schedulers if `pending` are pending at this one.
--- a/src/scheduling/node_partition.cpp
+++ b/src/scheduling/node_partition.cpp
@@ -19,7 +19,8 @@
   const int partition_count = partitioned ? (settings.scheduler_count + zone_count - 1) / zone_count : 0;
   const int min_partitions = packing_.IsEnabled() ? 1 : 2;
   for (Node* node : view_.nodes()) {
-    const int partition = static_cast<int>(cluster_manager::HashDraw(0, node->entry.node) * partition_count);
+    const int partition =
+        static_cast<int>(cluster_manager::HashToUnitInterval(0, node->entry.node) * partition_count);
     node->in_partition = partition_count >= min_partitions && node->entry.zone == settings.zone &&
                          partition == settings.scheduler_index / zone_count % partition_count;
     if (node->in_partition) nodes_.push_back(node);
--- a/src/scheduling/node_selector.cpp
+++ b/src/scheduling/node_selector.cpp
@@ -72,7 +72,7 @@
 void NodeSelector::SearchNodeKinds(IndexSearch* search) {
   const Task& task = search->request.task;
   const Resources use = components_.usage.ExpectedUse(task);
-  const PlacementIndex::RatioIndex::Rooms need{task.cores, task.memory, use.cores, use.memory};
+  const PlacementIndex::RatioIndex::Capacities need{task.cores, task.memory, use.cores, use.memory};
   const double added = kProgramStartLoad * context_.settings.mean_cores;
   const int required = context_.ClassSettingsFor(task).required_node_kind;
   const auto visit = [&](std::uint32_t slot) {
@@ -82,9 +82,9 @@
   std::vector<PlacementIndex::RatioIndex>& kinds = components_.index.kinds();
   for (std::size_t kind = 0; kind < kinds.size(); ++kind) {
     if (required >= 0 && required != static_cast<int>(kind)) continue;
-    if (kinds[kind].Least(added, need, visit) || !candidates_.empty()) continue;
-    not_preferred_.clear();  // Ascend visits these nodes again
-    kinds[kind].Ascend(added, need, visit);
+    if (kinds[kind].VisitLeast(added, need, visit) || !candidates_.empty()) continue;
+    not_preferred_.clear();  // VisitAscending visits these nodes again
+    kinds[kind].VisitAscending(added, need, visit);
   }
 }
 
@@ -181,7 +181,7 @@
   double least_draw = kNoLimit;
   for (const Candidate& each : candidates_) {
     const double share = std::max(kMinShare, threshold * each.weight - each.load);
-    const double draw = -std::log(cluster_manager::HashDraw(service, each.node)) / share;
+    const double draw = -std::log(cluster_manager::HashToUnitInterval(service, each.node)) / share;
     if (each.load > threshold * each.weight || draw >= least_draw || each.has_program != has_program)
       continue;
     least_draw = draw;
--- a/src/scheduling/placement_index.cpp
+++ b/src/scheduling/placement_index.cpp
@@ -20,7 +20,7 @@
   const Settings& settings = context_.settings;
   const bool many = settings.shows_free_capacity && view_.nodes().size() > kMaxScannedNodes;
   if (many == std::exchange(active_, many) && !rebuild) return;
-  for (const RatioIndex& index : kinds_) examined_in_discarded_ += index.looked();
+  for (const RatioIndex& index : kinds_) examined_in_discarded_ += index.examined();
   kinds_.assign(many ? settings.kind_cores.size() : 0, {});
   view_.TrackChanges(many);
   view_.ClearChanged();
@@ -74,7 +74,7 @@
   const Resources& used = view_.Use(*node);
   // The capacity by use is overstated by the possible drift of the mean, so that no fitting node is skipped.
   // NodeFilter checks the exact values.
-  const RatioIndex::Rooms capacity{
+  const RatioIndex::Capacities capacity{
       std::min(cores * settings.cores_overcommit - requested.cores, refused.cores),
       std::min(memory * settings.memory_overcommit - requested.memory, refused.memory),
       (max_busy * cores - (1 - 2 * kMaxMeanUseDrift) * used.cores) / correction.cores,
@@ -97,7 +97,7 @@
 
 std::uint64_t PlacementIndex::examined() const {
   std::uint64_t total = examined_in_discarded_;
-  for (const RatioIndex& index : kinds_) total += index.looked();
+  for (const RatioIndex& index : kinds_) total += index.examined();
   return total;
 }
 
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -197,7 +197,7 @@
                                                        {"agents", node_pool_.size()},
                                                        {"agent_lines", node_pool_.connection_count()},
                                                        {"agent_open", node_pool_.unanswered_attempt_count()},
-                                                       {"blocks", Blocks().live()},
+                                                       {"blocks", SharedBlockPool().live()},
                                                        {"deadlines", loop_.deadlines()}};
   for (const auto& [name, size] : sizes) std::fprintf(stderr, "size %s %zu\n", name, size);
   if (zone_failover_) {
--- a/src/server/server_process_handover.cpp
+++ b/src/server/server_process_handover.cpp
@@ -91,7 +91,7 @@
   const auto& tenants = dispatcher_.classes().settings().tenants;
   const auto tenant = std::ranges::find(tenants, task.tenant, &scheduling::TenantSettings::name);
   request.task.tenant = tenant == tenants.end() ? 0 : static_cast<int>(tenant - tenants.begin());
-  request.payload.bytes = Blocks().Make(task.payload.size());
+  request.payload.bytes = SharedBlockPool().Allocate(task.payload.size());
   request.payload.bytes.Append(task.payload);
   request.payload.class_end = task.class_end;
   return request;
--- a/src/spending/admission.cpp
+++ b/src/spending/admission.cpp
@@ -159,7 +159,8 @@
   // Spreads the retries of clients that wait for the next month, so that they do not all come in its first
   // second.
   const Time next_month = teams_[static_cast<std::size_t>(team_index)].window.starts[3] * kSecond - now;
-  const Time spread = static_cast<Time>(HashDraw(request.id, static_cast<std::uint64_t>(month)) * 2e9);
+  const Time spread =
+      static_cast<Time>(HashToUnitInterval(request.id, static_cast<std::uint64_t>(month)) * 2e9);
   switch (reason) {
     case RejectionReason::kNone:
       break;
--- a/src/store/store_thread.h
+++ b/src/store/store_thread.h
@@ -42,16 +42,16 @@
   StoreThread(std::unique_ptr<Store> store, std::size_t max_pending, Callback wake)
       : store_(std::move(store)), queue_(max_pending, wake), thread_([this] { Run(); }) {}
   // Queued batches are still written: the consensus module may rely on them.
-  ~StoreThread() { Stop(Ending::kDrain); }
+  ~StoreThread() { Stop(StopMode::kDrain); }
 
   // Returns false if the queue is full or stopped.
   bool TryAppend(WriteRequest request) { return queue_.TryPush(std::move(request)); }
   // The next result in the order of the requests, if there is one.
-  std::optional<WriteResult> PopResult() { return queue_.TakeResult(); }
+  std::optional<WriteResult> PopResult() { return queue_.PopResult(); }
   // Waits for the thread. Results can still be popped. The returned requests were dropped and are not
   // written.
-  std::deque<WriteRequest> Stop(Ending ending) {
-    std::deque<WriteRequest> dropped = queue_.Stop(ending);
+  std::deque<WriteRequest> Stop(StopMode mode) {
+    std::deque<WriteRequest> dropped = queue_.Stop(mode);
     if (thread_.joinable()) thread_.join();
     return dropped;
   }
@@ -61,7 +61,7 @@
     std::string error;
     while (std::optional<WriteRequest> request = queue_.Pop()) {
       if (error.empty()) store_->Append(request->batch, &error);
-      queue_.Give(WriteResult{request->ticket, error});
+      queue_.PushResult(WriteResult{request->ticket, error});
     }
   }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -90,7 +90,7 @@
   for (int round = 0; round < 60; ++round) {
     // Words of the queue's own, with blocks before, between and behind them; some blocks stand there twice.
     for (int i = 0; i < 6; ++i) {
-      BlockPool::Ref block = Blocks().Make(9000);
+      BlockPool::Ref block = SharedBlockPool().Allocate(9000);
       block.Append(Text(&random, random() % 9000));
       const std::size_t cut = random() % (block.size() + 1);
       const std::string own = Text(&random, random() % 700);
@@ -109,13 +109,13 @@
     got.clear();
     expected.clear();
   }
-  CHECK(Blocks().live() == 0);
+  CHECK(SharedBlockPool().live() == 0);
   CHECK_FALSE(pair.handler.ended);
 }
 
 TEST_CASE("what waits to be written is bounded, blocks too, and let go with the connection") {
   Pair pair;
-  BlockPool::Ref block = Blocks().Make(16'000);
+  BlockPool::Ref block = SharedBlockPool().Allocate(16'000);
   block.Append(std::string(16'000, 'x'));
   for (int i = 0; i < 100 && !pair.handler.ended; ++i) {
     pair.connection->Refer(block, 0, block.size());
@@ -124,12 +124,12 @@
   CHECK(pair.handler.ended);
   CHECK(pair.handler.ending == Ending::kStuck);
   block = {};
-  CHECK(Blocks().live() == 0);
+  CHECK(SharedBlockPool().live() == 0);
 }
 
 TEST_CASE("a set-up of a block leaves in one call, and its bytes are copied once") {
   Pair pair(65'536);
-  BlockPool::Ref block = Blocks().Make(1000);
+  BlockPool::Ref block = SharedBlockPool().Allocate(1000);
   protocol::AppendParameter(&block, Code::kClass, "web-api");
   const std::size_t class_end = block.size();
   protocol::AppendParameter(&block, Code::kDescription, std::string(500, 'd'));
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -284,7 +284,7 @@
       }
     }
     CHECK(thread.TryAppend(make_request(5)));
-    thread.Stop(Ending::kDrain);
+    thread.Stop(StopMode::kDrain);
     CHECK_FALSE(thread.TryAppend(make_request(6)));
     CHECK(thread.PopResult()->ticket == 5);
     CHECK_FALSE(thread.PopResult());
@@ -296,7 +296,7 @@
       request.batch.state = PersistentState{1, 2, 3, 4};
       CHECK(thread.TryAppend(std::move(request)));
     }
-    std::deque<WriteRequest> dropped = thread.Stop(Ending::kDrop);  // each request is written or returned
+    std::deque<WriteRequest> dropped = thread.Stop(StopMode::kDrop);  // each request is written or returned
     for (std::uint64_t ticket = 1; ticket <= 3; ++ticket) {
       if (const std::optional<WriteResult> result = thread.PopResult()) {
         CHECK(result->ticket == ticket);
@@ -318,7 +318,7 @@
     request.batch.state = PersistentState{1, 2, 3, 4};
     CHECK(thread.TryAppend(std::move(request)));
   }
-  thread.Stop(Ending::kDrain);
+  thread.Stop(StopMode::kDrain);
   for (int i = 0; i < 2; ++i) CHECK(thread.PopResult()->error.find("the disk is full") != std::string::npos);
 }
 
