--- a/src/nodes/reply_decoder.cpp
+++ b/src/nodes/reply_decoder.cpp
@@ -74,7 +74,7 @@
     if (colon == std::string_view::npos) continue;
     double value = 0;
     if (scheduling::simulator::ReadNumber(pair.substr(colon + 1), &value)) {
-      scheduling::simulator::TellField(&report, pair.substr(0, colon), value);
+      scheduling::simulator::SetReportField(&report, pair.substr(0, colon), value);
     }
   }
   return report;
--- a/src/simulator/actions.cpp
+++ b/src/simulator/actions.cpp
@@ -5,16 +5,16 @@
 namespace scheduling::simulator {
 namespace {
 
-// One line out: the message's name, then its values, a tab before each.
-class LineOut {
+// Writes one line: the name of the message, then its values, each preceded by a tab.
+class LineWriter {
  public:
-  LineOut(std::string* to, const char* name) : to_(to) { *to_ += name; }
-  ~LineOut() { *to_ += '\n'; }
-  LineOut(const LineOut&) = delete;
-  LineOut& operator=(const LineOut&) = delete;
+  LineWriter(std::string* to, const char* name) : to_(to) { *to_ += name; }
+  ~LineWriter() { *to_ += '\n'; }
+  LineWriter(const LineWriter&) = delete;
+  LineWriter& operator=(const LineWriter&) = delete;
 
-  LineOut& operator<<(std::int64_t value) { return *this << std::string_view(std::to_string(value)); }
-  LineOut& operator<<(std::string_view text) {
+  LineWriter& operator<<(std::int64_t value) { return *this << std::string_view(std::to_string(value)); }
+  LineWriter& operator<<(std::string_view text) {
     *to_ += '\t';
     to_->append(text);
     return *this;
@@ -24,7 +24,8 @@
   std::string* to_;
 };
 
-std::string OneLine(std::string_view text) {
+// Replaces control characters, so that the text stays on one line; "-" if it is empty.
+std::string Sanitize(std::string_view text) {
   std::string clean(text);
   for (char& c : clean) {
     if (static_cast<unsigned char>(c) < ' ') c = ' ';
@@ -32,6 +33,7 @@
   return clean.empty() ? "-" : clean;
 }
 
+// Two digits per byte; "-" if there are none.
 std::string Hex(const std::string& bytes) {
   static constexpr std::string_view kDigits = "0123456789abcdef";
   std::string out;
@@ -42,43 +44,52 @@
   return out.empty() ? "-" : out;
 }
 
+// Writes each kind of action as its message.
 struct Writer {
   std::string* to;
-  std::int64_t who;
-  const Names* names;
+  std::int64_t instance_id;
+  const RequestNames* names;
 
   void operator()(const StartAttempt& a) const {
-    LineOut(to, "claim_room") << who << names->Text(a.id) << a.node << a.deadline;
+    LineWriter(to, "claim_room") << instance_id << names->NameOf(a.id) << a.node << a.deadline;
   }
   void operator()(const CancelAttempt& a) const {
-    LineOut(to, "retract") << who << names->Text(a.id) << a.attempt;
+    LineWriter(to, "retract") << instance_id << names->NameOf(a.id) << a.attempt;
   }
   void operator()(const RejectRequest& a) const {
-    LineOut(to, "not_now") << who << names->Text(a.id) << a.retry_after;
+    LineWriter(to, "not_now") << instance_id << names->NameOf(a.id) << a.retry_after;
   }
-  void operator()(const FailRequest& a) const { LineOut(to, "error") << who << names->Text(a.id); }
-  void operator()(const MigrateTask& a) const { LineOut(to, "unseat") << who << names->Text(a.id); }
-  void operator()(const CheckNodeHealth& a) const { LineOut(to, "test") << who << a.node; }
-  void operator()(const CloseIdleConnections& a) const { LineOut(to, "drop_conns") << who << a.node; }
-  void operator()(const WatchEndpointList& a) const { LineOut(to, "follow") << who << (a.active ? 1 : 0); }
-  void operator()(const FetchEndpointList&) const { LineOut(to, "refresh") << who; }
+  void operator()(const FailRequest& a) const {
+    LineWriter(to, "error") << instance_id << names->NameOf(a.id);
+  }
+  void operator()(const MigrateTask& a) const {
+    LineWriter(to, "unseat") << instance_id << names->NameOf(a.id);
+  }
+  void operator()(const CheckNodeHealth& a) const { LineWriter(to, "test") << instance_id << a.node; }
+  void operator()(const CloseIdleConnections& a) const {
+    LineWriter(to, "drop_conns") << instance_id << a.node;
+  }
+  void operator()(const WatchEndpointList& a) const {
+    LineWriter(to, "follow") << instance_id << (a.active ? 1 : 0);
+  }
+  void operator()(const FetchEndpointList&) const { LineWriter(to, "refresh") << instance_id; }
   void operator()(const SetTimer& a) const {
-    LineOut(to, "after") << who << static_cast<std::int64_t>(a.tag) << a.at;
+    LineWriter(to, "after") << instance_id << static_cast<std::int64_t>(a.tag) << a.at;
   }
   void operator()(const SendPeerMessage& a) const {
-    LineOut(to, "post") << who << a.recipient << Hex(a.body);
+    LineWriter(to, "post") << instance_id << a.recipient << Hex(a.body);
   }
-  void operator()(const LogMessage& a) const { LineOut(to, "say_log") << who << OneLine(a.text); }
+  void operator()(const LogMessage& a) const { LineWriter(to, "say_log") << instance_id << Sanitize(a.text); }
 };
 
 }  // namespace
 
-void WriteAction(const Action& action, std::int64_t who, const Names& names, std::string* to) {
-  std::visit(Writer{to, who, &names}, action);
+void WriteAction(const Action& action, std::int64_t instance_id, const RequestNames& names, std::string* to) {
+  std::visit(Writer{to, instance_id, &names}, action);
 }
 
-void WriteInternalError(std::int64_t who, std::string_view text, std::string* to) {
-  LineOut(to, "internal_error") << who << OneLine(text);
+void WriteInternalError(std::int64_t instance_id, std::string_view text, std::string* to) {
+  LineWriter(to, "internal_error") << instance_id << Sanitize(text);
 }
 
 }  // namespace scheduling::simulator
--- a/src/simulator/events.h
+++ b/src/simulator/events.h
@@ -1,5 +1,5 @@
-// Reading the lines of the wire that carry events and entries of the node list.
-// All functions throw WireError where the line is malformed.
+// Parsing of the protocol lines that carry events and entries of the endpoint list.
+// All functions throw ProtocolError if the line is malformed.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,27 @@
 
 #include "scheduling/scheduler.h"
 #include "simulator/fields.h"
-#include "simulator/names.h"
+#include "simulator/request_names.h"
 
 namespace scheduling::simulator {
 
+// Bounds of the numbers in the protocol: times and ids, and indices and flags.
 constexpr std::int64_t kMaxNumber = std::numeric_limits<std::int64_t>::max();
 constexpr std::int64_t kMaxIndex = 1 << 30;
 
-// The request is entered under its name, once the line is known to be well formed.
-TaskArrived ReadRequest(const Fields& fields, Names* names);
-TaskClaimed ReadFound(const Fields& fields, Names* names);
+// Adds the name of the request to `names`, only after the whole line has been parsed.
+TaskArrived ReadTaskArrived(const Fields& fields, RequestNames* names);
+TaskClaimed ReadTaskClaimed(const Fields& fields, RequestNames* names);
 
-TaskAccepted ReadTaken(const Fields& fields, const Names& names);
-AttemptEnded ReadResult(const Fields& fields, const Names& names);
-// Nothing: a kind of note that the module does not know.
-std::optional<TaskReported> ReadSignal(const Fields& fields, const Names& names);
-RequestCancelled ReadCancelled(const Fields& fields, const Names& names);
-Event ReadProbed(const Fields& fields);
-Event ReadPeerData(const Fields& fields);
+TaskAccepted ReadTaskAccepted(const Fields& fields, const RequestNames& names);
+AttemptEnded ReadAttemptEnded(const Fields& fields, const RequestNames& names);
+// Returns nothing for an unknown kind of report.
+std::optional<TaskReported> ReadTaskReported(const Fields& fields, const RequestNames& names);
+RequestCancelled ReadRequestCancelled(const Fields& fields, const RequestNames& names);
+Event ReadHealthCheckCompleted(const Fields& fields);
+Event ReadPeerMessage(const Fields& fields);
 
-// An `m` line: a node as the node list has it.
+// Parses an `m` line: one node of the endpoint list.
 NodeEntry ReadNodeEntry(const Fields& fields);
 
 }  // namespace scheduling::simulator
--- a/src/simulator/fields.cpp
+++ b/src/simulator/fields.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename T>
-bool ReadWhole(std::string_view text, T* value) {
+bool ParseWholeText(std::string_view text, T* value) {
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, *value);
   return error == std::errc() && stop == end && !text.empty();
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-bool ReadInt(std::string_view text, std::int64_t* value) { return ReadWhole(text, value); }
+bool ReadInt(std::string_view text, std::int64_t* value) { return ParseWholeText(text, value); }
 
 bool ReadNumber(std::string_view text, double* value) {
-  return ReadWhole(text, value) && std::isfinite(*value);
+  return ParseWholeText(text, value) && std::isfinite(*value);
 }
 
-void TellField(LoadReport* report, std::string_view name, double value) {
+void SetReportField(LoadReport* report, std::string_view name, double value) {
   static constexpr std::pair<std::string_view, LoadReport::Field> kNames[] = {
       {"cpu", LoadReport::kCpuLoad},
       {"x0", LoadReport::kFreeCores},
@@ -43,39 +43,42 @@
   }
 }
 
-void Fields::Bad(std::string_view field, const std::string& problem) const {
-  throw WireError("line " + std::to_string(line_number_) + ": " + std::string(name()) + ": " +
-                  std::string(field) + ": " + problem);
+void Fields::ThrowMalformed(std::string_view field, const std::string& problem) const {
+  throw ProtocolError("line " + std::to_string(line_number_) + ": " + std::string(name()) + ": " +
+                      std::string(field) + ": " + problem);
 }
 
-void Fields::Expect(std::size_t count) const {
+void Fields::ExpectCount(std::size_t count) const {
   if (size() != count) {
-    Bad("fields", "expected " + std::to_string(count) + ", got " + std::to_string(size()));
+    ThrowMalformed("fields", "expected " + std::to_string(count) + ", got " + std::to_string(size()));
   }
 }
 
 std::int64_t Fields::Int(std::size_t index, const char* field, std::int64_t low, std::int64_t high) const {
   std::int64_t value = 0;
-  if (!ReadInt(Raw(index), &value)) Bad(field, "not a whole number: '" + std::string(Raw(index)) + "'");
-  if (value < low || value > high) Bad(field, "out of range: " + std::string(Raw(index)));
+  if (!ReadInt(Raw(index), &value))
+    ThrowMalformed(field, "not a whole number: '" + std::string(Raw(index)) + "'");
+  if (value < low || value > high) ThrowMalformed(field, "out of range: " + std::string(Raw(index)));
   return value;
 }
 
 std::int64_t Fields::IntOr(std::size_t index, const char* field, std::int64_t low, std::int64_t high,
                            std::int64_t fallback) const {
-  return Absent(index) ? fallback : Int(index, field, low, high);
+  return IsAbsent(index) ? fallback : Int(index, field, low, high);
 }
 
-std::uint64_t Fields::Token(std::size_t index, const char* field) const {
+std::uint64_t Fields::Unsigned(std::size_t index, const char* field) const {
   std::uint64_t value = 0;
-  if (!ReadWhole(Raw(index), &value)) Bad(field, "not a whole number: '" + std::string(Raw(index)) + "'");
+  if (!ParseWholeText(Raw(index), &value))
+    ThrowMalformed(field, "not a whole number: '" + std::string(Raw(index)) + "'");
   return value;
 }
 
 double Fields::Number(std::size_t index, const char* field) const {
-  if (Absent(index)) return 0;
+  if (IsAbsent(index)) return 0;
   double value = 0;
-  if (!ReadNumber(Raw(index), &value)) Bad(field, "not a number: '" + std::string(Raw(index)) + "'");
+  if (!ReadNumber(Raw(index), &value))
+    ThrowMalformed(field, "not a number: '" + std::string(Raw(index)) + "'");
   return value;
 }
 
@@ -84,7 +87,7 @@
 }
 
 std::string Fields::Text(std::size_t index, const char* field) const {
-  if (Raw(index).empty() || Absent(index)) Bad(field, "missing");
+  if (Raw(index).empty() || IsAbsent(index)) ThrowMalformed(field, "missing");
   return std::string(Raw(index));
 }
 
--- a/src/simulator/fields.h
+++ b/src/simulator/fields.h
@@ -1,4 +1,4 @@
-// Splitting a line of the wire into fields and reading them strictly.
+// Splitting a line of the simulator protocol into fields, with strict parsing of their values.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,30 @@
 
 namespace scheduling::simulator {
 
-// A malformed line. what() is one plain line naming the line, the message and the field.
-class WireError : public std::runtime_error {
+// A malformed line. what() is a single line that names the line number, the message and the field.
+class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// The fields of one line, separated by tabs: the name of the message and its values. Refers to the line,
+// which must outlive it. The parsing functions throw ProtocolError, naming `field`.
 class Fields {
  public:
   Fields(std::string_view line, std::size_t line_number);
 
   std::string_view name() const { return parts_[0]; }
   std::size_t size() const { return parts_.size() - 1; }
-  void Expect(std::size_t count) const;  // exactly so many values
-  [[noreturn]] void Bad(std::string_view field, const std::string& problem) const;
+  void ExpectCount(std::size_t count) const;  // throws unless there are exactly `count` values
+  [[noreturn]] void ThrowMalformed(std::string_view field, const std::string& problem) const;
 
-  // Values count from 0. "-" is absent: the fallback is taken where one is given, else it is malformed.
-  bool Absent(std::size_t index) const { return parts_[index + 1] == "-"; }
+  // Values are indexed from 0. "-" means absent: functions with a fallback return it, Number returns 0, and
+  // the others treat the value as malformed.
+  bool IsAbsent(std::size_t index) const { return parts_[index + 1] == "-"; }
   std::int64_t Int(std::size_t index, const char* field, std::int64_t low, std::int64_t high) const;
   std::int64_t IntOr(std::size_t index, const char* field, std::int64_t low, std::int64_t high,
                      std::int64_t fallback) const;
-  std::uint64_t Token(std::size_t index, const char* field) const;
+  std::uint64_t Unsigned(std::size_t index, const char* field) const;
   double Number(std::size_t index, const char* field) const;
   bool BoolOr(std::size_t index, const char* field, bool fallback) const;
   std::string Text(std::size_t index, const char* field) const;
@@ -42,11 +45,11 @@
   std::size_t line_number_;
 };
 
-// Whole-string number readers; false where the text is not one.
+// Parse the whole text as a number. Return false if it is not one; ReadNumber also if it is not finite.
 bool ReadInt(std::string_view text, std::int64_t* value);
 bool ReadNumber(std::string_view text, double* value);
 
-// Enters a figure of a load report under the name that it has on wires; names of no use are passed over.
-void TellField(LoadReport* report, std::string_view name, double value);
+// Sets the field of a load report with the given protocol name. Unknown names are ignored.
+void SetReportField(LoadReport* report, std::string_view name, double value);
 
 }  // namespace scheduling::simulator
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -12,16 +12,16 @@
 
 namespace scheduling::simulator {
 
-void Host::Line(std::string_view line) {
+void Host::ProcessLine(std::string_view line) {
   ++line_number_;
-  if (entries_left_ > 0) {
-    CatalogEntry(Fields(line, line_number_));
+  if (remaining_entries_ > 0) {
+    AddCatalogEntry(Fields(line, line_number_));
     return;
   }
-  if (!in_batch_ && line.empty()) return;  // frames may be set apart by an empty line
+  if (!in_batch_ && line.empty()) return;  // empty lines between batches are allowed
   const Fields f(line, line_number_);
   if (!in_batch_) {
-    if (f.name() != "round") f.Bad("frame", "outside of a batch");
+    if (f.name() != "round") f.ThrowMalformed("frame", "outside of a batch");
     OpenBatch(f);
   } else if (f.name() == "over_to_you") {
     CloseBatch(f);
@@ -30,65 +30,66 @@
   } else if (f.name() == "catalog") {
     OpenCatalog(f);
   } else if (f.name() == "roster_change") {
-    RosterChange(f);
+    ChangeEndpointList(f);
   } else if (f.name() == "destroy") {
     DestroyInstance(f);
   } else if (f.name() == "round" || f.name() == "m") {
-    f.Bad("frame", "out of place");
+    f.ThrowMalformed("frame", "out of place");
   } else {
-    TakeEvent(f);
+    HandleEvent(f);
   }
 }
 
-void Host::TakeEvent(const Fields& f) {
+void Host::HandleEvent(const Fields& f) {
   if (f.name() == "request") {
-    Instance& instance = Of(f);
-    const TaskArrived event = ReadRequest(f, &instance.names);
+    Instance& instance = FindInstance(f);
+    const TaskArrived event = ReadTaskArrived(f, &instance.names);
     Deliver(f, &instance, event, event.task.id);
   } else if (f.name() == "taken") {
-    Instance& instance = Of(f);
-    const TaskAccepted event = ReadTaken(f, instance.names);
+    Instance& instance = FindInstance(f);
+    const TaskAccepted event = ReadTaskAccepted(f, instance.names);
     Deliver(f, &instance, event, event.id);
   } else if (f.name() == "reminder") {
-    f.Expect(2);
-    Deliver(f, &Of(f), TimerFired{f.Token(1, "Tag")}, 0);
+    f.ExpectCount(2);
+    Deliver(f, &FindInstance(f), TimerFired{f.Unsigned(1, "Tag")}, 0);
   } else if (f.name() == "found") {
-    Instance& instance = Of(f);
-    const TaskClaimed event = ReadFound(f, &instance.names);
+    Instance& instance = FindInstance(f);
+    const TaskClaimed event = ReadTaskClaimed(f, &instance.names);
     Deliver(f, &instance, event, event.task.id);
   } else if (f.name() == "result") {
-    Instance& instance = Of(f);
-    const AttemptEnded event = ReadResult(f, instance.names);
+    Instance& instance = FindInstance(f);
+    const AttemptEnded event = ReadAttemptEnded(f, instance.names);
     Deliver(f, &instance, event, event.id);
   } else if (f.name() == "cancelled_by_client") {
-    f.Expect(2);
-    Instance& instance = Of(f);
-    const RequestCancelled event = ReadCancelled(f, instance.names);
+    f.ExpectCount(2);
+    Instance& instance = FindInstance(f);
+    const RequestCancelled event = ReadRequestCancelled(f, instance.names);
     Deliver(f, &instance, event, event.id);
   } else if (f.name() == "signal") {
-    Instance& instance = Of(f);
-    if (const auto event = ReadSignal(f, instance.names)) Deliver(f, &instance, *event, event->id);
+    Instance& instance = FindInstance(f);
+    if (const auto event = ReadTaskReported(f, instance.names)) Deliver(f, &instance, *event, event->id);
   } else if (f.name() == "probed") {
-    Deliver(f, &Of(f), ReadProbed(f), 0);
+    Deliver(f, &FindInstance(f), ReadHealthCheckCompleted(f), 0);
   } else if (f.name() == "peer_data") {
-    Deliver(f, &Of(f), ReadPeerData(f), 0);
-  }  // event kinds that are not known are skipped
+    Deliver(f, &FindInstance(f), ReadPeerMessage(f), 0);
+  }  // unknown kinds of events are ignored
 }
 
 void Host::DestroyInstance(const Fields& f) {
-  f.Expect(1);
-  const std::int64_t who = f.Int(0, "Who", 0, kMaxNumber);
-  if (instances_.erase(who) == 0) f.Bad("Who", "no instance " + std::to_string(who));
+  f.ExpectCount(1);
+  const std::int64_t instance_id = f.Int(0, "Who", 0, kMaxNumber);
+  if (instances_.erase(instance_id) == 0)
+    f.ThrowMalformed("Who", "no instance " + std::to_string(instance_id));
 }
 
-void Host::End() const {
+void Host::Finish() const {
   if (!in_batch_) return;
-  throw WireError("line " + std::to_string(line_number_ + 1) +
-                  ": round: over_to_you: input ended in mid-batch");
+  throw ProtocolError("line " + std::to_string(line_number_ + 1) +
+                      ": round: over_to_you: input ended in mid-batch");
 }
 
 void Host::OpenBatch(const Fields& f) {
-  f.Expect(2);
+  f.ExpectCount(2);
   now_ = f.Int(0, "clock", 0, kMaxNumber);
   f.Int(1, "batch", std::numeric_limits<std::int64_t>::min(), kMaxNumber);
   batch_ = f.Raw(1);
@@ -96,76 +97,77 @@
 }
 
 void Host::CloseBatch(const Fields& f) {
-  f.Expect(0);
+  f.ExpectCount(0);
   in_batch_ = false;
   out_ << reply_ << "done\t" << batch_ << '\n' << std::flush;
   reply_.clear();
 }
 
 void Host::BeginInstance(const Fields& f) {
-  if (f.size() < 2) f.Expect(3);
-  const std::int64_t who = f.Int(0, "Who", 0, kMaxNumber);
-  const std::uint64_t seed = f.Token(1, "InitSeed");
+  if (f.size() < 2) f.ExpectCount(3);
+  const std::int64_t instance_id = f.Int(0, "Who", 0, kMaxNumber);
+  const std::uint64_t seed = f.Unsigned(1, "InitSeed");
   Settings settings = ReadSettings(f, 2);
   try {
-    instances_.insert_or_assign(who, Instance{Scheduler(std::move(settings), seed), {}});
+    instances_.insert_or_assign(instance_id, Instance{Scheduler(std::move(settings), seed), {}});
   } catch (const std::invalid_argument& error) {
-    f.Bad("Params", error.what());
+    f.ThrowMalformed("Params", error.what());
   }
 }
 
 void Host::OpenCatalog(const Fields& f) {
-  f.Expect(2);
+  f.ExpectCount(2);
   open_catalog_ = static_cast<std::size_t>(f.Int(0, "SetId", 0, 15));
-  entries_left_ = static_cast<std::size_t>(f.Int(1, "MembersList", 0, 100'000'000));
+  remaining_entries_ = static_cast<std::size_t>(f.Int(1, "MembersList", 0, 100'000'000));
   open_entries_ = std::make_shared<std::vector<NodeEntry>>();
   catalogs_[open_catalog_] = open_entries_;
 }
 
-void Host::CatalogEntry(const Fields& f) {
-  if (f.name() != "m") f.Bad("MembersList", std::to_string(entries_left_) + " more entries expected");
+void Host::AddCatalogEntry(const Fields& f) {
+  if (f.name() != "m")
+    f.ThrowMalformed("MembersList", std::to_string(remaining_entries_) + " more entries expected");
   open_entries_->push_back(ReadNodeEntry(f));
-  --entries_left_;
+  --remaining_entries_;
 }
 
-void Host::RosterChange(const Fields& f) {
-  f.Expect(4);
+void Host::ChangeEndpointList(const Fields& f) {
+  f.ExpectCount(4);
   EndpointListChanged event;
   event.kind = static_cast<EndpointListUpdate>(f.Int(1, "Kind", 0, 3));
   event.version = f.IntOr(2, "SeqNo", 0, kMaxNumber, 0);
   if (event.kind != EndpointListUpdate::kFailed) {
-    const std::int64_t set = f.Int(3, "SetId", 0, 15);
-    event.entries = catalogs_[static_cast<std::size_t>(set)];
-    if (event.entries == nullptr) f.Bad("SetId", "no catalog " + std::to_string(set));
+    const std::int64_t catalog = f.Int(3, "SetId", 0, 15);
+    event.entries = catalogs_[static_cast<std::size_t>(catalog)];
+    if (event.entries == nullptr) f.ThrowMalformed("SetId", "no catalog " + std::to_string(catalog));
   }
-  Deliver(f, &Of(f), event, 0);
+  Deliver(f, &FindInstance(f), event, 0);
 }
 
-Host::Instance& Host::Of(const Fields& f) {
-  const std::int64_t who = f.Int(0, "Who", 0, kMaxNumber);
-  const auto it = instances_.find(who);
-  if (it == instances_.end()) f.Bad("Who", "no instance " + std::to_string(who));
+Host::Instance& Host::FindInstance(const Fields& f) {
+  const std::int64_t instance_id = f.Int(0, "Who", 0, kMaxNumber);
+  const auto it = instances_.find(instance_id);
+  if (it == instances_.end()) f.ThrowMalformed("Who", "no instance " + std::to_string(instance_id));
   return it->second;
 }
 
-// `about`: the request that the event is of, or 0.
-void Host::Deliver(const Fields& f, Instance* instance, const Event& event, RequestId about) {
-  const std::int64_t who = f.Int(0, "Who", 0, kMaxNumber);
+// `request_id`: the request that the event concerns, or 0.
+void Host::Deliver(const Fields& f, Instance* instance, const Event& event, RequestId request_id) {
+  const std::int64_t instance_id = f.Int(0, "Who", 0, kMaxNumber);
   std::optional<Scheduler>& scheduler = instance->scheduler;
   if (!scheduler) return;
   try {
-    const auto over = [&](RequestId id) {
-      if (!scheduler->Tracks(id)) instance->names.Forget(id);
+    const auto forget_if_finished = [&](RequestId id) {
+      if (!scheduler->Tracks(id)) instance->names.Remove(id);
     };
     const std::vector<Action>& actions = scheduler->Handle(event, now_);
-    for (const Action& action : actions) WriteAction(action, who, instance->names, &reply_);
+    for (const Action& action : actions) WriteAction(action, instance_id, instance->names, &reply_);
     for (const Action& action : actions) {
-      if (const auto* refused = std::get_if<RejectRequest>(&action)) over(refused->id);
-      if (const auto* failed = std::get_if<FailRequest>(&action)) over(failed->id);
+      if (const auto* rejected = std::get_if<RejectRequest>(&action)) forget_if_finished(rejected->id);
+      if (const auto* failed = std::get_if<FailRequest>(&action)) forget_if_finished(failed->id);
     }
-    over(about);
+    forget_if_finished(request_id);
   } catch (const std::exception& error) {
-    WriteInternalError(who, error.what(), &reply_);
+    WriteInternalError(instance_id, error.what(), &reply_);
     scheduler.reset();
   }
 }
@@ -173,9 +175,9 @@
 int Run(std::istream& in, std::ostream& out, std::ostream& errors) {
   Host host(out);
   try {
-    for (std::string line; std::getline(in, line);) host.Line(line);
-    host.End();
-  } catch (const WireError& error) {
+    for (std::string line; std::getline(in, line);) host.ProcessLine(line);
+    host.Finish();
+  } catch (const ProtocolError& error) {
     errors << "passbridge_wirehost: " << error.what() << std::endl;
     return 1;
   }
--- a/src/simulator/settings.h
+++ b/src/simulator/settings.h
@@ -1,4 +1,4 @@
-// Reading the settings of a `begin` line.
+// Parsing of the settings in a `begin` line.
 #pragma once
 
 #include "scheduling/scheduler.h"
@@ -6,7 +6,8 @@
 
 namespace scheduling::simulator {
 
-// Reads path=value pairs from value `first` on. Keys that are not known are skipped.
+// Parses path=value pairs, starting with the value at index `first`. Unknown keys are ignored. Throws
+// ProtocolError if a value is malformed.
 Settings ReadSettings(const Fields& fields, std::size_t first);
 
 }  // namespace scheduling::simulator
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -56,7 +56,7 @@
         expected.clear();
         ++result.batches;
       }
-      host.Line(text);
+      host.ProcessLine(text);
     } else if (IsCompared(text)) {
       expected.push_back(text);
       result.attempts += text.starts_with("claim_room\t");
