--- a/src/cli/sites_command.cpp
+++ b/src/cli/sites_command.cpp
@@ -80,7 +80,7 @@
     throw UsageError(path + ": " + error.what());
   }
   read.deployment = zone_failover::DeploymentOf(read.config.settings, read.config.zones);
-  read.known = read.config.known;
+  read.known = read.config.known_list;
   return read;
 }
 
@@ -125,7 +125,7 @@
         text.append(", which the settings do not name: ").append(json_files::Listed(read.deployment.sites));
         throw UsageError(text);
       }
-      const int kind = std::max(0, NumberOf(read.config.kinds, target.value("model", "")));
+      const int kind = std::max(0, NumberOf(read.config.node_kinds, target.value("model", "")));
       node.cores = settings.kind_cores.at(static_cast<std::size_t>(kind));
       node.memory = settings.kind_memory.at(static_cast<std::size_t>(kind));
       const json free = target.value("unasked", json::array({node.cores, node.memory}));
--- a/src/clients/client_frontend.cpp
+++ b/src/clients/client_frontend.cpp
@@ -31,7 +31,7 @@
       parser_(classes),
       events_(events),
       listener_(Listen(loop, config, [this](int socket) { OnAccepted(socket); })) {
-  SetDescriptorLimit(config.sockets);
+  SetDescriptorLimit(config.max_descriptors);
   CheckTimeouts();
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// What a cluster manager is told at its start: the file that ROUTER_CONFIG names, and the variables over it.
+// The configuration of a cluster manager: the JSON file named by ROUTER_CONFIG and the environment variables
+// that override it.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,30 +16,33 @@
 
 namespace cluster_manager {
 
+// Times are in nanoseconds.
 struct Config {
   std::string name;
-  sockaddr_in listen{}, bulletin{};
-  int listen_socket = -1;  // inherited: it listens already, for every process of this name; -1: none
-  std::optional<sockaddr_in> admin;  // the operators' address; none: nobody is listened to there
+  sockaddr_in listen{}, discovery{};
+  int listen_socket = -1;  // inherited listening socket, shared by all processes of this name; -1: none
+  std::optional<sockaddr_in> admin;  // address of the operators' interface; none: disabled
   std::uint64_t seed = 0;
   scheduling::Settings settings;
-  std::vector<std::string> zones, kinds;  // by their numbers
+  std::vector<std::string> zones, node_kinds;  // names by index
   Time dial_timeout = 250 * kMs, keepalive = 15 * kSecond;
-  int sockets = 1024;    // descriptors that the process may hold
-  nlohmann::json known;  // the bulletin's events so far
-  nlohmann::json shape;  // the file, but for those events: what later ones must have too
+  int max_descriptors = 1024;     // file descriptors that the process may hold
+  nlohmann::json known_list;      // discovery events that the file already contains
+  nlohmann::json required_shape;  // the file without those events: later files must have the same keys
 };
 
-// Throws std::exception, saying what is wrong, where there is no configuration to work with.
+// Throws std::exception with the reason if the configuration is not usable.
 Config ReadConfig(const nlohmann::json& json);
-// Also where the file lacks what `first`, the shape of the one accepted at the start, had. A file is taken
-// whole or not at all.
-Config ConfigFromEnvironment(const nlohmann::json* first = nullptr);
+// Loads the file named by ROUTER_CONFIG and applies the environment variables. With `first`, the
+// required_shape of the configuration loaded at the start, also throws if the file is not compatible with it.
+// A file is accepted or rejected as a whole.
+Config LoadConfigFromEnvironment(const nlohmann::json* first = nullptr);
 
-// The level that ROUTER_LOG_LEVEL names, kInfo without the variable. Throws ConfigError where it names none.
+// The level named by ROUTER_LOG_LEVEL, kInfo if the variable is not set. Throws ConfigError for an unknown
+// level.
 LogLevel LogLevelFromEnvironment();
 
-// The settings as the simulator's wire writes them: path=value, a tab before each.
-std::string Flatten(const nlohmann::json& settings);
+// The settings in the format of the simulator protocol: path=value, each preceded by a tab.
+std::string FlattenSettings(const nlohmann::json& settings);
 
 }  // namespace cluster_manager
--- a/src/discovery/reader.cpp
+++ b/src/discovery/reader.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "net/counters.h"
 #include "net/log.h"
 
@@ -33,7 +33,7 @@
 constexpr EndpointListWatcher::Failure kStalled{&Counters::discovery_stalled, "no whole event"};
 
 std::optional<json> Parse(const std::string& text) {
-  if (IsTooDeep(text)) return std::nullopt;
+  if (ExceedsMaxDepth(text)) return std::nullopt;
   json event = json::parse(text, nullptr, false);
   return event.is_discarded() ? std::nullopt : std::optional<json>(std::move(event));
 }
@@ -42,10 +42,10 @@
 
 EndpointListWatcher::EndpointListWatcher(EventLoop* loop, const Config& config, DiscoveryEvents* events)
     : loop_(loop),
-      address_(config.bulletin),
-      host_(AddressText(config.bulletin)),
+      address_(config.discovery),
+      host_(AddressText(config.discovery)),
       events_(events),
-      roster_(config.zones, config.kinds),
+      roster_(config.zones, config.node_kinds),
       unasked_(!config.settings.discovery_by_subscription) {
   http_parser_settings_init(&callbacks_);
   callbacks_.on_headers_complete = [](http_parser* p) {
@@ -263,7 +263,7 @@
 
 void EndpointListWatcher::PassOver(const EndpointList::Change& change) {
   ++counters.discovery_events_invalid;
-  const std::string what = change.wrong.empty() ? "it is no JSON" : Describe(change.wrong.front());
+  const std::string what = change.wrong.empty() ? "it is no JSON" : FormatIssue(change.wrong.front());
   Complain("the event after " + std::to_string(roster_.last()) + " is passed over: " + what);
 }
 
@@ -280,7 +280,7 @@
 void EndpointListWatcher::ComplainOfEntries(std::int64_t event, const EndpointList::Change& change) {
   counters.discovery_entries_invalid += change.wrong.size();
   Complain("of event " + std::to_string(event) + " " + std::to_string(change.wrong.size()) +
-           " entries are left out: " + Describe(change.wrong.front()));
+           " entries are left out: " + FormatIssue(change.wrong.front()));
 }
 
 // Guards against a bulletin whose mistakes fill the log: the counters tell how many there were.
--- a/src/discovery/roster.cpp
+++ b/src/discovery/roster.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "config/listing.h"
+#include "config/endpoint_list_validation.h"
 
 namespace cluster_manager {
 namespace {
@@ -55,7 +55,7 @@
 }
 
 EndpointList::Verdict EndpointList::Apply(const json& event, Gap gap, Change* change) {
-  if (std::optional<Complaint> wrong = CheckListEvent(event)) {
+  if (std::optional<ConfigIssue> wrong = ValidateEndpointListEvent(event)) {
     change->wrong.push_back(std::move(*wrong));
     return Verdict::kBad;
   }
@@ -75,9 +75,9 @@
   Uids taken, unread;
   for (std::size_t i = 0; i < targets.size(); ++i) {
     const std::string uid = UidOf(targets[i]);
-    if (const std::optional<Complaint> wrong = CheckListEntry(targets[i])) {
+    if (const std::optional<ConfigIssue> wrong = ValidateEndpointListEntry(targets[i])) {
       const std::string path = "roster.targets[" + std::to_string(i) + "]." + wrong->path;
-      change->wrong.push_back({path, wrong->said, wrong->wanted});
+      change->wrong.push_back({path, wrong->found, wrong->expected});
       unread.insert(uid);
       continue;
     }
--- a/src/discovery/roster.h
+++ b/src/discovery/roster.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "dispatch/ports.h"
 
 namespace cluster_manager {
@@ -22,8 +22,8 @@
   struct Change {
     bool full = false;
     std::int64_t version = 0;
-    std::vector<ListedNode> nodes;  // of a full list also those that it no longer names, as gone
-    std::vector<Complaint> wrong;   // what was left out, or why nothing was taken
+    std::vector<ListedNode> nodes;   // of a full list also those that it no longer names, as gone
+    std::vector<ConfigIssue> wrong;  // what was left out, or why nothing was taken
   };
   enum class Verdict {
     kTaken,
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -35,17 +35,17 @@
       config_(std::move(config)),
       deployment_(zone_failover::DeploymentOf(config_.settings, config_.zones)),
       dispatcher_(&loop_, config_.settings, SeedHashes(config_.seed)),
-      node_pool_(&loop_, {config_.dial_timeout, config_.keepalive}, SocketsWithoutAdmin(config_.sockets),
-                 config_.seed, &dispatcher_),
+      node_pool_(&loop_, {config_.dial_timeout, config_.keepalive},
+                 SocketsWithoutAdmin(config_.max_descriptors), config_.seed, &dispatcher_),
       endpoint_list_(&loop_, config_, &dispatcher_),
       frontend_(&loop_, config_, dispatcher_.classes(), &dispatcher_) {
   dispatcher_.Connect(&frontend_, &node_pool_, &endpoint_list_);
   LoadZoneFailoverPlan();
-  frontend_.SetDescriptorLimit(SocketsWithoutAdmin(config_.sockets));
+  frontend_.SetDescriptorLimit(SocketsWithoutAdmin(config_.max_descriptors));
   node_pool_.SetClientDescriptors([this] { return frontend_.size(); });
   if (config_.admin) dispatcher_.SetSuspensions(&suspensions_);
   OpenSharedFiles();
-  endpoint_list_.PublishKnownList(config_.known);
+  endpoint_list_.PublishKnownList(config_.known_list);
   InstallSignalHandlers();
   Log("%s listens on %s", config_.name.c_str(), AddressText(frontend_.address()).c_str());
   if (config_.admin) {
@@ -152,17 +152,17 @@
 // where it is wrong.
 void ServerProcess::ReloadConfig() {
   try {
-    const Config fresh = ConfigFromEnvironment(&config_.shape);
+    const Config fresh = LoadConfigFromEnvironment(&config_.required_shape);
     scheduling::Scheduler(fresh.settings, 0);  // throws where the scheduler cannot work with the settings
     const ClassTable::Change change = dispatcher_.ApplySettings(fresh.settings);
     frontend_.UpdateRequestLimits();
-    endpoint_list_.SwitchTo(fresh.bulletin, fresh.known);
+    endpoint_list_.SwitchTo(fresh.discovery, fresh.known_list);
     node_pool_.SetTimeouts({fresh.dial_timeout, fresh.keepalive});
-    frontend_.SetDescriptorLimit(SocketsWithoutAdmin(fresh.sockets));
-    node_pool_.SetDescriptorLimit(SocketsWithoutAdmin(fresh.sockets));
+    frontend_.SetDescriptorLimit(SocketsWithoutAdmin(fresh.max_descriptors));
+    node_pool_.SetDescriptorLimit(SocketsWithoutAdmin(fresh.max_descriptors));
     ++counters.reloads;
     Log("configuration read again, bulletin at %s, classes: %d new, %d changed, %d dropped",
-        AddressText(fresh.bulletin).c_str(), change.added, change.changed, change.dropped);
+        AddressText(fresh.discovery).c_str(), change.added, change.changed, change.dropped);
     // The failover plan names classes by their positions, which may have changed.
     deployment_ = zone_failover::DeploymentOf(dispatcher_.classes().settings(), config_.zones);
   } catch (const std::exception& error) {
--- a/tests/basic_components_test.cpp
+++ b/tests/basic_components_test.cpp
@@ -67,7 +67,7 @@
 TEST_CASE("settings are flattened to the format of the simulator protocol") {
   const nlohmann::json settings = {
       {"A", {{"B", true}, {"C", {1, 2.5}}}}, {"S", {{{"N", "x y"}}, {{"N", "z"}}}}, {"T", 6000000000}};
-  CHECK(Flatten(settings) == "\tA.B=true\tA.C=1,2.5\tS.count=2\tS.0.N=x_y\tS.1.N=z\tT=6000000000");
+  CHECK(FlattenSettings(settings) == "\tA.B=true\tA.C=1,2.5\tS.count=2\tS.0.N=x_y\tS.1.N=z\tT=6000000000");
 }
 
 TEST_CASE("a node id is derived from the uid and is the same in every process") {
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -114,9 +114,9 @@
 
 TEST_CASE_FIXTURE(Desk, "without a command it serves, and says plainly when it cannot") {
   CHECK(Run("") == 1);
-  CHECK(Says("cluster_manager: ROUTER_CONFIG names no configuration file"));
+  CHECK(Says("cluster_manager: ROUTER_CONFIG is not set; set it to the path of a configuration file"));
   CHECK(Run("serve") == 1);
-  CHECK(Says("cluster_manager: ROUTER_CONFIG names no configuration file"));
+  CHECK(Says("cluster_manager: ROUTER_CONFIG is not set; set it to the path of a configuration file"));
 }
 
 }  // namespace
--- a/tests/compatibility_config_test.cpp
+++ b/tests/compatibility_config_test.cpp
@@ -1,5 +1,5 @@
-// The keys of the configuration that ROUTER_CONFIG names, and the variables that go over it. Each key is one
-// that existing installations have written; none may change its name.
+// The keys of the configuration file and the environment variables that override it. Existing installations
+// use each of them, so none may be renamed.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 
@@ -16,7 +16,7 @@
 
 #include "config/config.h"
 #include "config/config_error.h"
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "discovery/roster.h"
 
 namespace cluster_manager {
@@ -41,7 +41,8 @@
   return std::string(text) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-class Variable {  // of the environment, for as long as this lives
+// Sets an environment variable for the lifetime of the object.
+class Variable {
  public:
   Variable(const char* name, const std::string& value) : name_(name) { ::setenv(name, value.c_str(), 1); }
   ~Variable() { ::unsetenv(name_); }
@@ -52,14 +53,14 @@
   const char* name_;
 };
 
-// Everything that a configuration is read into, as text: two that differ in a value differ here.
+// All values of a configuration as text: configurations that differ in any value have different texts.
 class Summary {
  public:
   explicit Summary(const Config& c) {
-    Add(c.name, AddressText(c.listen), AddressText(c.bulletin), c.admin ? AddressText(*c.admin) : "none");
-    Add(c.seed, c.sockets, c.dial_timeout, c.keepalive, c.settings.classes.size());
+    Add(c.name, AddressText(c.listen), AddressText(c.discovery), c.admin ? AddressText(*c.admin) : "none");
+    Add(c.seed, c.max_descriptors, c.dial_timeout, c.keepalive, c.settings.classes.size());
     for (const std::string& zone : c.zones) Add("zone", zone);
-    for (const std::string& kind : c.kinds) Add("kind", kind);
+    for (const std::string& kind : c.node_kinds) Add("kind", kind);
     for (const scheduling::ClassSettings& each : c.settings.classes) AddClass(each);
     for (const scheduling::TenantSettings& each : c.settings.tenants) {
       Add(each.name, each.traffic_share, each.quota_cores);
@@ -95,17 +96,17 @@
         s.drain_grace, s.max_retry_after, s.over_quota_weight);
     Add(s.node_price);
   }
-  // As the program goes about the events that it starts with.
+  // Applies the known events as the program does at its start.
   void AddNodes(const Config& c) {
-    EndpointList roster(c.zones, c.kinds);
-    Add(c.known.value("no", -1));
-    for (const json& event : c.known.value("items", json::array())) {
+    EndpointList list(c.zones, c.node_kinds);
+    Add(c.known_list.value("no", -1));
+    for (const json& event : c.known_list.value("items", json::array())) {
       EndpointList::Change change;
-      Add(static_cast<int>(roster.Apply(event, EndpointList::Gap::kAccept, &change)), change.full,
+      Add(static_cast<int>(list.Apply(event, EndpointList::Gap::kAccept, &change)), change.full,
           change.version);
-      for (const Complaint& wrong : change.wrong) Add(Describe(wrong));
+      for (const ConfigIssue& wrong : change.wrong) Add(FormatIssue(wrong));
     }
-    for (const ListedNode& node : roster.All().nodes) {
+    for (const ListedNode& node : list.All().nodes) {
       const scheduling::NodeEntry& entry = node.entry;
       Add(node.endpoint, entry.node, static_cast<int>(entry.state), entry.kind, entry.zone, entry.rack);
       Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal_capacity);
@@ -114,7 +115,7 @@
   std::ostringstream text_;
 };
 
-// Nothing where the configuration is refused.
+// Nothing if the configuration is rejected.
 std::optional<std::string> SummaryOf(const json& config) {
   try {
     return Summary(ReadConfig(config)).text();
@@ -140,7 +141,7 @@
   return keys;
 }
 
-// The document with the key at `at` changed in its last letter.
+// The document with the last letter of the key at `at` changed.
 json Renamed(json document, const Pointer& at) {
   json& object = document[at.parent_pointer()];
   std::string name = at.back();
@@ -151,26 +152,27 @@
   return document;
 }
 
-TEST_CASE("the kept configuration is read from the file that ROUTER_CONFIG names, each value from its key") {
+TEST_CASE(
+    "the stored configuration is read from the file named by ROUTER_CONFIG and each value from its key") {
   const Variable path("ROUTER_CONFIG", DataFile("router_config.json"));
-  const Config c = ConfigFromEnvironment();
+  const Config c = LoadConfigFromEnvironment();
   CHECK(c.name == "manager-3");
   CHECK(AddressText(c.listen) == "127.0.0.1:3868");
-  CHECK(AddressText(c.bulletin) == "127.0.0.3:9092");
+  CHECK(AddressText(c.discovery) == "127.0.0.3:9092");
   REQUIRE(c.admin.has_value());
   CHECK(AddressText(*c.admin) == "127.0.0.2:3869");
   CHECK(c.listen_socket == -1);
   CHECK(c.seed == 0x8c1f30d27a5be964);
-  CHECK(c.sockets == 777);
+  CHECK(c.max_descriptors == 777);
   CHECK(c.dial_timeout == 251'000'000);
   CHECK(c.keepalive == 16'000'000'000);
   CHECK(c.zones == std::vector<std::string>{"hall-a", "hall-b"});
-  CHECK(c.kinds == std::vector<std::string>{"std", "gpu"});
-  CHECK(c.known == Read("router_config.json")["known"]);
-  CHECK(CompareShape(c.shape, Read("router_config.json")).empty());
+  CHECK(c.node_kinds == std::vector<std::string>{"std", "gpu"});
+  CHECK(c.known_list == Read("router_config.json")["known"]);
+  CHECK(FindIncompatibilities(c.required_shape, Read("router_config.json")).empty());
 }
 
-TEST_CASE("the settings of the kept configuration arrive, by class and by tenant") {
+TEST_CASE("the class and tenant settings of the stored configuration are read") {
   const scheduling::Settings s = ReadConfig(Read("router_config.json")).settings;
   REQUIRE(s.classes.size() == 2);
   CHECK(s.classes[0] == scheduling::ClassSettings{"web api", 700'000'000, 6'000'000'000,
@@ -190,7 +192,7 @@
   CHECK(s.tenants[1].quota_cores == 7.5);
 }
 
-TEST_CASE("the settings of the kept configuration arrive, of the fleet") {
+TEST_CASE("the cluster settings of the stored configuration are read") {
   const scheduling::Settings s = ReadConfig(Read("router_config.json")).settings;
   CHECK(s.kind_cores == std::vector<double>{42, 43});
   CHECK(s.kind_memory == std::vector<double>{66, 67});
@@ -220,16 +222,16 @@
   CHECK(s.node_price == 0.0625);
 }
 
-TEST_CASE("the node list of the kept configuration is read, each value from its key") {
+TEST_CASE("the endpoint list of the stored configuration is read and each value from its key") {
   const Config c = ReadConfig(Read("router_config.json"));
-  EndpointList roster(c.zones, c.kinds);
+  EndpointList list(c.zones, c.node_kinds);
   EndpointList::Change change;
-  REQUIRE(roster.Apply(c.known["items"][0], EndpointList::Gap::kRefuse, &change) ==
+  REQUIRE(list.Apply(c.known_list["items"][0], EndpointList::Gap::kRefuse, &change) ==
           EndpointList::Verdict::kTaken);
   CHECK(change.full);
   CHECK(change.version == 17);
-  CHECK(roster.last() == 3);
-  CHECK(roster.Lists("s-00000001"));
+  CHECK(list.last() == 3);
+  CHECK(list.Lists("s-00000001"));
   REQUIRE(change.nodes.size() == 1);
   const ListedNode& node = change.nodes[0];
   CHECK(node.endpoint == "10.1.0.9:3868");
@@ -243,38 +245,38 @@
   CHECK(node.entry.free_memory == 100.25);
 }
 
-TEST_CASE("a key of the configuration that is changed by one letter is refused, or its value is missing") {
+TEST_CASE("a configuration key changed by one letter is rejected or its value is missing") {
   const json config = Read("router_config.json");
-  const std::optional<std::string> whole = SummaryOf(config);
-  REQUIRE(whole.has_value());
+  const std::optional<std::string> complete = SummaryOf(config);
+  REQUIRE(complete.has_value());
   const std::vector<Pointer> keys = KeysOf(config);
   CHECK(keys.size() == 93);
   for (const Pointer& at : keys) {
     CAPTURE(at.to_string());
-    CHECK(SummaryOf(Renamed(config, at)) != whole);
+    CHECK(SummaryOf(Renamed(config, at)) != complete);
   }
 }
 
-TEST_CASE("a reload refuses a configuration with a required key changed by one letter") {
+TEST_CASE("a reload rejects a configuration with a required key changed by one letter") {
   const json config = Read("router_config.json");
-  std::set<std::string> taken;
+  std::set<std::string> accepted;
   for (const Pointer& at : KeysOf(config)) {
-    if (CompareShape(config, Renamed(config, at)).empty()) taken.insert(at.to_string());
+    if (FindIncompatibilities(config, Renamed(config, at)).empty()) accepted.insert(at.to_string());
   }
   const std::string event = "/known/items/0/roster/", entry = event + "targets/0/";
   const std::set<std::string> optional = {
       "/admin_addr",   "/seed",           event + "rev",       event + "all",     entry + "az",
       entry + "model", entry + "unasked", entry + "pod_group", entry + "boot_ms", entry + "capacity_hint"};
-  CHECK(taken == optional);
+  CHECK(accepted == optional);
 }
 
 struct WrongValue {
   const char* at;
   json value;
-  const char* complaint;
+  const char* issue;
 };
 
-TEST_CASE("a reload names the key of each value that it refuses, and what to write there") {
+TEST_CASE("a reload names the key of each value that it rejects and what to write") {
   const std::string service = "settings.Services[1].", allowed = "settings.Allowed.";
   const std::string family = "settings.FamilyInfo.";
   const std::vector<std::pair<WrongValue, std::string>> wrong = {
@@ -303,13 +305,13 @@
     CAPTURE(each.at);
     json changed = config;
     changed[Pointer(each.at)] = each.value;
-    const std::vector<Complaint> complaints = CompareShape(config, changed);
-    REQUIRE(complaints.size() == 1);
-    CHECK_MESSAGE(Describe(complaints[0]).starts_with(below + each.complaint), Describe(complaints[0]));
+    const std::vector<ConfigIssue> issues = FindIncompatibilities(config, changed);
+    REQUIRE(issues.size() == 1);
+    CHECK_MESSAGE(FormatIssue(issues[0]).starts_with(below + each.issue), FormatIssue(issues[0]));
   }
 }
 
-TEST_CASE("the addresses, the settings and the classes' list are required, the rest has defaults") {
+TEST_CASE("the addresses and the settings are required and the other keys have defaults") {
   const json config = Read("router_config.json");
   for (const char* key : {"listen", "bulletin", "settings"}) {
     CAPTURE(key);
@@ -321,16 +323,17 @@
       ReadConfig({{"listen", "127.0.0.1:1"}, {"bulletin", "127.0.0.1:2"}, {"settings", json::object()}});
   CHECK(least.name == "willowrail");
   CHECK_FALSE(least.admin.has_value());
-  CHECK(least.sockets == 1024);
+  CHECK(least.max_descriptors == 1024);
   CHECK(least.dial_timeout == 250'000'000);
   CHECK(least.keepalive == 15'000'000'000);
 }
 
-TEST_CASE("ROUTER_NAME, ROUTER_LISTEN, ROUTER_ADMIN_ADDR and ROUTER_LISTEN_FD go over the configuration") {
+TEST_CASE(
+    "ROUTER_NAME and ROUTER_LISTEN and ROUTER_ADMIN_ADDR and ROUTER_LISTEN_FD override the configuration") {
   const Variable path("ROUTER_CONFIG", DataFile("router_config.json"));
   const Variable name("ROUTER_NAME", "other"), listen("ROUTER_LISTEN", "127.0.0.7:70");
   const Variable admin("ROUTER_ADMIN_ADDR", "127.0.0.8:80"), inherited("ROUTER_LISTEN_FD", "9");
-  const Config c = ConfigFromEnvironment();
+  const Config c = LoadConfigFromEnvironment();
   CHECK(c.name == "other");
   CHECK(AddressText(c.listen) == "127.0.0.7:70");
   REQUIRE(c.admin.has_value());
@@ -338,18 +341,18 @@
   CHECK(c.listen_socket == 9);
 }
 
-TEST_CASE("ROUTER_LOG_LEVEL is info or debug, info without it, and anything else is refused") {
+TEST_CASE("ROUTER_LOG_LEVEL is info or debug with info as the default and other values are rejected") {
   CHECK(LogLevelFromEnvironment() == LogLevel::kInfo);
   {
     const Variable level("ROUTER_LOG_LEVEL", "debug");
     CHECK(LogLevelFromEnvironment() == LogLevel::kDebug);
   }
   const Variable level("ROUTER_LOG_LEVEL", "Debug");
-  CHECK_THROWS_WITH_AS(LogLevelFromEnvironment(), "ROUTER_LOG_LEVEL is 'Debug', legal are info and debug",
+  CHECK_THROWS_WITH_AS(LogLevelFromEnvironment(), "ROUTER_LOG_LEVEL is 'Debug'; write info or debug",
                        ConfigError);
 }
 
-TEST_CASE("the words of the settings are read as what they mean") {
+TEST_CASE("the enumeration values of the settings are read") {
   json config = Read("router_config.json");
   const std::vector<std::pair<const char*, RetrySafety>> effects = {
       {"pure", RetrySafety::kIdempotent},
--- a/tests/config_shape_test.cpp
+++ b/tests/config_shape_test.cpp
@@ -1,5 +1,5 @@
-// Which later configuration files are taken: every way to lose a part of one is refused, other values are
-// not.
+// Validation of reloaded configuration files: a file that lacks any part is rejected, a file with other
+// values is accepted.
 #include <doctest/doctest.h>
 
 #include <limits>
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/shape.h"
+#include "config/config_validation.h"
 
 namespace cluster_manager {
 namespace {
@@ -32,7 +32,7 @@
       {"Layers", {"fleet"}},
       {"Kinds", {"std"}},
       {"Zones", {"hall-a", "hall-b"}}};
-  settings["Services"][1]["AimStretch"] = 2;  // a key that only some classes have
+  settings["Services"][1]["AimStretch"] = 2;  // a key of only some classes
   settings["FamilyInfo"] = {{"CoresByKind", {42}},          {"MemoryByKind", {66.0}},
                             {"ClassCalm", {1.0, 0.8, 0.6}}, {"FadesOver", {1.0, 0.2, 0.2}},
                             {"NeedsKind", {-1, -1, 0}},     {"Precedence", {0, 2, 3}},
@@ -49,14 +49,14 @@
       {"settings", settings}};
 }
 
-// Why the text is not taken, empty where it is: as a reload goes about it.
-std::string Refusal(const std::string& text, const json& first = Valid()) {
+// The reason why a reload rejects the text; empty if it accepts it.
+std::string RejectionReason(const std::string& text, const json& first = Valid()) {
   try {
     const json fresh = ParseConfig(text, "config.json");
-    std::string all;
-    for (const Complaint& complaint : CompareShape(first, fresh)) all += Describe(complaint) + "\n";
-    if (all.empty()) ReadConfig(fresh);
-    return all;
+    std::string issues;
+    for (const ConfigIssue& issue : FindIncompatibilities(first, fresh)) issues += FormatIssue(issue) + "\n";
+    if (issues.empty()) ReadConfig(fresh);
+    return issues;
   } catch (const std::exception& error) {
     return error.what();
   }
@@ -67,48 +67,50 @@
 std::string With(const char* pointer, const json& value) {
   json fresh = Valid();
   fresh[Pointer(pointer)] = value;
-  return Refusal(fresh.dump());
+  return RejectionReason(fresh.dump());
 }
 
 std::string Without(const std::string& pointer) {
   json fresh = Valid();
   const Pointer at(pointer);
   fresh[at.parent_pointer()].erase(at.back());
-  return Refusal(fresh.dump());
+  return RejectionReason(fresh.dump());
 }
 
-bool Has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
+bool Contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
+}
 
-TEST_CASE("a file cut at any byte is refused with a message, the whole one is taken") {
+TEST_CASE("a file truncated at any byte is rejected with a message and the complete one is accepted") {
   for (const int indent : {-1, 1}) {
     const std::string text = Valid().dump(indent);
-    CHECK(Refusal(text) == "");
+    CHECK(RejectionReason(text) == "");
     for (std::size_t i = 0; i < text.size(); ++i) {
-      const std::string refusal = Refusal(text.substr(0, i));
-      REQUIRE_MESSAGE(Has(refusal, "config.json"), "cut at byte " << i << ": " << refusal);
-      REQUIRE_MESSAGE(Has(refusal, i == 0 ? "is empty" : "cut short"),
-                      "cut at byte " << i << ": " << refusal);
+      const std::string reason = RejectionReason(text.substr(0, i));
+      REQUIRE_MESSAGE(Contains(reason, "config.json"), "cut at byte " << i << ": " << reason);
+      REQUIRE_MESSAGE(Contains(reason, i == 0 ? "is empty" : "the file is truncated"),
+                      "cut at byte " << i << ": " << reason);
     }
   }
 }
 
-TEST_CASE("a text that is no configuration is refused, naming file, line, byte and what is wrong") {
-  CHECK(Refusal("") == "config.json: the file is empty");
-  CHECK(Refusal(" \r\n\t") == "config.json: the file is empty");
-  CHECK(Has(Refusal("[1]"), "config.json, line 1, byte 1: holds [1], not an object"));
-  CHECK(Has(Refusal("null"), "not an object"));
+TEST_CASE("a text that is not a configuration is rejected with file and line and byte and the problem") {
+  CHECK(RejectionReason("") == "config.json: the file is empty");
+  CHECK(RejectionReason(" \r\n\t") == "config.json: the file is empty");
+  CHECK(Contains(RejectionReason("[1]"), "config.json, line 1, byte 1: contains [1], expected an object"));
+  CHECK(Contains(RejectionReason("null"), "expected an object"));
   const std::string text = Valid().dump(1);
-  CHECK(Has(Refusal(text + "\n}"), "byte " + std::to_string(text.size() + 2)));
-  CHECK(Has(Refusal(text + "{}"), "expected end of input"));
-  CHECK(Has(Refusal(text + std::string("\0x", 2)), "a NUL"));
-  CHECK(Has(Refusal(std::string(64, '\0')), "line 1, byte 1: a NUL"));
-  CHECK(Has(Refusal("{\n\"a\": nan}"), "line 2, byte "));
-  CHECK(Has(Refusal("{\"a\": 1e999}"), "config.json: "));
-  CHECK(Has(Refusal("{\"a\": \"\xff\"}"), "config.json, line 1"));
-  CHECK(Refusal(text + "\n\n") == "");
+  CHECK(Contains(RejectionReason(text + "\n}"), "byte " + std::to_string(text.size() + 2)));
+  CHECK(Contains(RejectionReason(text + "{}"), "expected end of input"));
+  CHECK(Contains(RejectionReason(text + std::string("\0x", 2)), "a NUL"));
+  CHECK(Contains(RejectionReason(std::string(64, '\0')), "line 1, byte 1: a NUL"));
+  CHECK(Contains(RejectionReason("{\n\"a\": nan}"), "line 2, byte "));
+  CHECK(Contains(RejectionReason("{\"a\": 1e999}"), "config.json: "));
+  CHECK(Contains(RejectionReason("{\"a\": \"\xff\"}"), "config.json, line 1"));
+  CHECK(RejectionReason(text + "\n\n") == "");
 }
 
-// Calls `each` with the pointer to every key that the file has to have again.
+// Calls `each` with the pointer to every key that a reloaded file must have.
 template <typename Each>
 void Keys(const json& in, const std::string& pointer, const Each& each) {
   for (const auto& [key, value] : in.items()) {
@@ -118,15 +120,15 @@
   }
 }
 
-TEST_CASE("every key that the first file had is wanted again, with a value of the same type") {
+TEST_CASE("every key of the first file is required again with a value of the same type") {
   int keys = 0;
   Keys(Valid(), "", [&keys](const std::string& pointer) {
     ++keys;
     const std::string name = Pointer(pointer).back();
-    CHECK_MESSAGE(Has(Without(pointer), name + ": missing; "), pointer);
+    CHECK_MESSAGE(Contains(Without(pointer), name + ": missing; "), pointer);
     const bool flag = Valid()[Pointer(pointer)].is_boolean();
     for (const json& other : {json(nullptr), flag ? json("on") : json(true)}) {
-      CHECK_MESSAGE(Has(With(pointer.c_str(), other), name + ": " + other.dump() + "; "), pointer);
+      CHECK_MESSAGE(Contains(With(pointer.c_str(), other), name + ": " + other.dump() + "; "), pointer);
     }
   });
   CHECK(keys > 50);
@@ -135,46 +137,49 @@
   CHECK(Without("/settings/Services/1/AimStretch") == "");
   json first = Valid(), fresh = Valid();
   first["settings"]["Weights"] = nullptr;
-  CHECK(Has(Refusal(fresh.dump(), first), "settings.Weights: missing"));
+  CHECK(Contains(RejectionReason(fresh.dump(), first), "settings.Weights: missing"));
   for (const json& value : {json(nullptr), json("none"), json(1)}) {
     fresh["settings"]["Weights"] = value;
-    CHECK(Refusal(fresh.dump(), first) == "");
+    CHECK(RejectionReason(fresh.dump(), first) == "");
   }
 }
 
-TEST_CASE("deadlines and numbers of attempts that are no number above 0 are refused") {
+TEST_CASE("deadlines and numbers of attempts that are not positive numbers are rejected") {
   for (const json& bad : {json("soon"), json("5"), json(0), json(-1), json(0.0), json(true), json(false),
                           json(nullptr), json::array(), json::object(), json(1e300)}) {
-    CHECK_MESSAGE(Has(With("/settings/Services/2/Deadline", bad), "settings.Services[2].Deadline: "), bad);
-    CHECK_MESSAGE(Has(With("/settings/Allowed/MostTries", bad), "settings.Allowed.MostTries: "), bad);
-    CHECK_MESSAGE(Has(With("/settings/Services/1/KeyTtl", bad), "settings.Services[1].KeyTtl: "), bad);
+    CHECK_MESSAGE(Contains(With("/settings/Services/2/Deadline", bad), "settings.Services[2].Deadline: "),
+                  bad);
+    CHECK_MESSAGE(Contains(With("/settings/Allowed/MostTries", bad), "settings.Allowed.MostTries: "), bad);
+    CHECK_MESSAGE(Contains(With("/settings/Services/1/KeyTtl", bad), "settings.Services[1].KeyTtl: "), bad);
   }
   json fresh = Valid();
   fresh["settings"]["Services"][0]["Deadline"] = std::numeric_limits<double>::quiet_NaN();
-  CHECK(CompareShape(Valid(), fresh).size() == 1);
+  CHECK(FindIncompatibilities(Valid(), fresh).size() == 1);
   CHECK(With("/settings/Services/2/Deadline", "soon") ==
         "settings.Services[2].Deadline: \"soon\"; write a number of nanoseconds above 0\n");
-  CHECK(Has(With("/settings/Allowed/MostTries", 1.5), "write a whole number of attempts above 0"));
+  CHECK(Contains(With("/settings/Allowed/MostTries", 1.5), "write a whole number of attempts above 0"));
   CHECK(With("/settings/Allowed/MostTries", 1.0) == "");
   CHECK(With("/settings/Services/2/Deadline", 2.5e9) == "");
-  CHECK(With("/settings/Services/0/KeyTtl", 0) == "");  // no token class
+  CHECK(With("/settings/Services/0/KeyTtl", 0) == "");  // not a class with idempotency keys
 }
 
-TEST_CASE("classes have a name of their own, an effect that there is, and an aim that can be") {
-  CHECK(Has(With("/settings/Services", json::array()), "settings.Services: []; write a list of at least"));
-  CHECK(Has(With("/settings/Services/1", 5), "settings.Services[1]: 5; "));
-  CHECK(Has(With("/settings/Services/1/Name", ""), "settings.Services[1].Name: \"\"; "));
-  CHECK(Has(With("/settings/Services/1/Name", "pay"), "settings.Services[2].Name: \"pay\"; "));
+TEST_CASE("classes require a unique name and a known effect and a valid objective") {
+  CHECK(
+      Contains(With("/settings/Services", json::array()), "settings.Services: []; write a list of at least"));
+  CHECK(Contains(With("/settings/Services/1", 5), "settings.Services[1]: 5; "));
+  CHECK(Contains(With("/settings/Services/1/Name", ""), "settings.Services[1].Name: \"\"; "));
+  CHECK(Contains(With("/settings/Services/1/Name", "pay"), "settings.Services[2].Name: \"pay\"; "));
   CHECK(With("/settings/Services/1/Name", "Pay") == "");
-  CHECK(Has(With("/settings/Services/0/Effect", "Pure"), "settings.Services[0].Effect: \"Pure\"; "));
-  CHECK(Has(With("/settings/Services/0/Aim", -1), "settings.Services[0].Aim: -1; "));
+  CHECK(Contains(With("/settings/Services/0/Effect", "Pure"), "settings.Services[0].Effect: \"Pure\"; "));
+  CHECK(Contains(With("/settings/Services/0/Aim", -1), "settings.Services[0].Aim: -1; "));
   CHECK(With("/settings/Services/0/Aim", 0) == "");
-  CHECK(Has(With("/settings/GroupSize", 0), "settings.GroupSize: 0; "));
-  CHECK(Has(With("/settings/Ordinal", -1), "settings.Ordinal: -1; "));
-  CHECK(Has(With("/settings/FamilyInfo/ApartBy/1", "rack"), "settings.FamilyInfo.ApartBy[1]: \"rack\"; "));
-  CHECK(Has(With("/settings/FamilyInfo/NeedsKind/0", "x"), "settings.FamilyInfo.NeedsKind[0]: \"x\"; "));
-  CHECK(Has(With("/settings/Zones/0", 4), "settings.Zones[0]: 4; "));
-  CHECK(With("/name", json(std::vector<int>(1000, 7))).size() < 150);  // long values are cut
+  CHECK(Contains(With("/settings/GroupSize", 0), "settings.GroupSize: 0; "));
+  CHECK(Contains(With("/settings/Ordinal", -1), "settings.Ordinal: -1; "));
+  CHECK(
+      Contains(With("/settings/FamilyInfo/ApartBy/1", "rack"), "settings.FamilyInfo.ApartBy[1]: \"rack\"; "));
+  CHECK(Contains(With("/settings/FamilyInfo/NeedsKind/0", "x"), "settings.FamilyInfo.NeedsKind[0]: \"x\"; "));
+  CHECK(Contains(With("/settings/Zones/0", 4), "settings.Zones[0]: 4; "));
+  CHECK(With("/name", json(std::vector<int>(1000, 7))).size() < 150);  // long values are truncated
 }
 
 json Entry() {
@@ -183,11 +188,11 @@
           {"unasked", {1.5, 2.0}}};
 }
 
-TEST_CASE("the node list of a file is checked to its last entry") {
-  const auto refusal = [](const json& entry) {
+TEST_CASE("all entries of the endpoint list in a file are checked") {
+  const auto reason = [](const json& entry) {
     json fresh = Valid();
     fresh["known"]["items"][0]["roster"]["targets"] = {Entry(), entry};
-    return Refusal(fresh.dump());
+    return RejectionReason(fresh.dump());
   };
   const std::string path = "known.items[0].roster.targets[1].";
   for (const auto& [key, bad] : std::vector<std::pair<const char*, std::vector<json>>>{
@@ -203,55 +208,56 @@
     for (const json& value : bad) {
       json entry = Entry();
       entry[key] = value;
-      CHECK_MESSAGE(Has(refusal(entry), path + key + ": " + value.dump() + "; write "), key);
+      CHECK_MESSAGE(Contains(reason(entry), path + key + ": " + value.dump() + "; write "), key);
     }
   }
   for (const char* key : {"uid", "state", "endpoint"}) {
     json entry = Entry();
     entry.erase(key);
-    CHECK_MESSAGE(Has(refusal(entry), path + key + ": missing; write "), key);
+    CHECK_MESSAGE(Contains(reason(entry), path + key + ": missing; write "), key);
   }
-  CHECK(refusal({{"uid", "s-00000002"}, {"endpoint", "127.0.0.1:3871"}, {"state", "terminating"}}) == "");
-  CHECK(refusal({{"uid", "s-00000002"}, {"state", "terminated"}}) == "");
+  CHECK(reason({{"uid", "s-00000002"}, {"endpoint", "127.0.0.1:3871"}, {"state", "terminating"}}) == "");
+  CHECK(reason({{"uid", "s-00000002"}, {"state", "terminated"}}) == "");
   json overbooked = Entry();
   overbooked["unasked"] = {-0.25, 0};
-  CHECK(refusal(overbooked) == "");
+  CHECK(reason(overbooked) == "");
 }
 
-TEST_CASE("the events of a file, limits, times and the bulletin's address are checked") {
-  CHECK(Has(With("/known/items/0", 5), "known.items[0].event: 5; write an object"));
+TEST_CASE("the events and limits and times and the discovery address of a file are checked") {
+  CHECK(Contains(With("/known/items/0", 5), "known.items[0].event: 5; write an object"));
   for (const json& bad : {json(0), json(-1), json("3"), json(1e30), json(2.5)}) {
-    CHECK_MESSAGE(Has(With("/known/items/0/no", bad), "known.items[0].no: "), bad);
+    CHECK_MESSAGE(Contains(With("/known/items/0/no", bad), "known.items[0].no: "), bad);
   }
-  CHECK(Has(With("/known/items/0/roster", nullptr), "known.items[0].roster: null; "));
-  CHECK(Has(With("/known/items/0/roster/rev", "1"), "known.items[0].roster.rev: \"1\"; "));
-  CHECK(Has(With("/known/items/0/roster/all", "yes"), "known.items[0].roster.all: \"yes\"; "));
-  CHECK(Has(With("/known/items/0/roster/targets", 1), "known.items[0].roster.targets: 1; "));
+  CHECK(Contains(With("/known/items/0/roster", nullptr), "known.items[0].roster: null; "));
+  CHECK(Contains(With("/known/items/0/roster/rev", "1"), "known.items[0].roster.rev: \"1\"; "));
+  CHECK(Contains(With("/known/items/0/roster/all", "yes"), "known.items[0].roster.all: \"yes\"; "));
+  CHECK(Contains(With("/known/items/0/roster/targets", 1), "known.items[0].roster.targets: 1; "));
   json first = Valid();
   first.erase("known");
   json fresh = first;
   fresh["known"] = "none";
-  CHECK(Has(Refusal(fresh.dump(), first), "known: \"none\"; write an object"));
+  CHECK(Contains(RejectionReason(fresh.dump(), first), "known: \"none\"; write an object"));
   for (const json& bad : {json(0), json(-1), json(1.5), json(1e12)}) {
-    CHECK_MESSAGE(Has(With("/limits/sockets", bad), "limits.sockets: "), bad);
+    CHECK_MESSAGE(Contains(With("/limits/sockets", bad), "limits.sockets: "), bad);
   }
-  CHECK(Has(With("/settings/Allowed/DialTimeout", 0), "settings.Allowed.DialTimeout: 0; "));
-  CHECK(Has(With("/settings/Allowed/DialTimeout", -1), "settings.Allowed.DialTimeout: -1; "));
+  CHECK(Contains(With("/settings/Allowed/DialTimeout", 0), "settings.Allowed.DialTimeout: 0; "));
+  CHECK(Contains(With("/settings/Allowed/DialTimeout", -1), "settings.Allowed.DialTimeout: -1; "));
   for (const char* bad : {"", "bulletin", "127.0.0.1", "127.0.0.1:port", "300.0.0.1:9092"}) {
-    CHECK_MESSAGE(Has(With("/bulletin", bad), "bulletin: "), bad);
+    CHECK_MESSAGE(Contains(With("/bulletin", bad), "bulletin: "), bad);
   }
 }
 
-TEST_CASE("a text whose values lie too deep in one another is refused, whatever stands in strings") {
+TEST_CASE("a text with too deeply nested values is rejected and brackets in strings do not count") {
   const std::string deep(100'000, '['), in_string = "\"\\\"" + std::string(100, '[') + "\"";
-  CHECK(Has(Refusal(deep), "config.json: lists and objects lie deeper"));
-  CHECK(Has(Refusal("{\"settings\": " + deep), "config.json: lists and objects lie deeper"));
-  CHECK_FALSE(IsTooDeep(Valid().dump()));
-  CHECK_FALSE(IsTooDeep(in_string));
-  CHECK_FALSE(IsTooDeep(std::string(64, '[') + std::string(64, ']') + "[]"));
+  CHECK(Contains(RejectionReason(deep), "config.json: lists and objects are nested deeper"));
+  CHECK(Contains(RejectionReason("{\"settings\": " + deep),
+                 "config.json: lists and objects are nested deeper"));
+  CHECK_FALSE(ExceedsMaxDepth(Valid().dump()));
+  CHECK_FALSE(ExceedsMaxDepth(in_string));
+  CHECK_FALSE(ExceedsMaxDepth(std::string(64, '[') + std::string(64, ']') + "[]"));
 }
 
-TEST_CASE("a file with other values, other classes and unknown keys is taken") {
+TEST_CASE("a file with other values and other classes and unknown keys is accepted") {
   json fresh = Valid();
   json& settings = fresh["settings"];
   fresh["new"] = {{"key", 1}};
@@ -263,22 +269,22 @@
   settings["Services"][1]["Deadline"] = 1;
   settings["Services"].push_back(Service("fourth", "token"));
   settings["Services"][3]["Unknown"] = nullptr;
-  CHECK(Refusal(fresh.dump()) == "");
+  CHECK(RejectionReason(fresh.dump()) == "");
   settings["Services"].erase(0);
-  CHECK(Refusal(fresh.dump()) == "");
-  CHECK(CompareShape(Valid(), Valid()).empty());
+  CHECK(RejectionReason(fresh.dump()) == "");
+  CHECK(FindIncompatibilities(Valid(), Valid()).empty());
 }
 
-TEST_CASE("where a list has fewer entries than there are classes, its last serves for the rest") {
+TEST_CASE("the last entry of a list shorter than the number of classes applies to the remaining classes") {
   json fresh = Valid();
   fresh["settings"]["Services"].push_back(Service("fourth", "pure"));
   json& family = fresh["settings"]["FamilyInfo"];
   family["ClassCalm"] = json::array();
   family["ApartBy"] = {"machine"};
-  REQUIRE(Refusal(fresh.dump()) == "");
+  REQUIRE(RejectionReason(fresh.dump()) == "");
   const auto classes = ReadConfig(fresh).settings.classes;
   REQUIRE(classes.size() == 4);
-  CHECK(classes[3].degradation_start == 1);  // nothing said
+  CHECK(classes[3].degradation_start == 1);  // default
   CHECK(classes[0].degradation_span == 1.0);
   CHECK(classes[3].degradation_span == 0.2);
   CHECK(classes[3].required_node_kind == 0);
