--- a/src/cli/sites_command.cpp
+++ b/src/cli/sites_command.cpp
@@ -24,7 +24,7 @@
 
 json ReadJson(const std::string& path) {
   try {
-    return json_files::Load(path);
+    return json_files::LoadDocument(path);
   } catch (const std::runtime_error& error) {
     throw UsageError(error.what());
   }
@@ -122,7 +122,7 @@
       if (node.site < 0) {
         std::string text = from;
         text.append(": ").append(uid).append(" stands in ").append(target["az"].dump());
-        text.append(", which the settings do not name: ").append(json_files::Listed(read.deployment.sites));
+        text.append(", which the settings do not name: ").append(json_files::JoinList(read.deployment.sites));
         throw UsageError(text);
       }
       const int kind = std::max(0, NumberOf(read.config.node_kinds, target.value("model", "")));
@@ -139,7 +139,7 @@
       lose.push_back(NumberOf(read.deployment.sites, name));
       if (lose.back() < 0)
         throw UsageError("--lose " + name + ": there is no such site, the settings name: " +
-                         json_files::Listed(read.deployment.sites));
+                         json_files::JoinList(read.deployment.sites));
     }
     zone_failover::DrillParameters terms;
     for (const std::string& each : call.mix) {
@@ -150,7 +150,7 @@
       const std::string name = each.substr(0, equals);
       if (share < 0 || NumberOf(read.deployment.classes, name) < 0)
         throw UsageError("--mix " + each + ": write CLASS=SHARE, with a class of: " +
-                         json_files::Listed(read.deployment.classes));
+                         json_files::JoinList(read.deployment.classes));
       terms.mix[name] = share;
     }
     terms.patience = read.config.dial_timeout;
--- a/src/json_files/document_checker.cpp
+++ b/src/json_files/document_checker.cpp
@@ -9,25 +9,25 @@
 
 using nlohmann::json;
 
-std::string Below(const std::string& place, const std::string& name) {
+std::string JoinPath(const std::string& place, const std::string& name) {
   return place.empty() ? name : place + "." + name;
 }
 
-std::string Listed(const std::vector<std::string>& all) {
+std::string JoinList(const std::vector<std::string>& items) {
   std::string text;
-  for (const std::string& each : all) {
+  for (const std::string& item : items) {
     if (!text.empty()) text += ", ";
-    text += each;
+    text += item;
   }
   return text;
 }
 
-std::string Plain(double number) {
+std::string FormatNumber(double number) {
   return json(number == std::floor(number) ? json(static_cast<std::int64_t>(number)) : json(number)).dump();
 }
 
 void DocumentChecker::AddError(const std::string& place, const std::string& text) {
-  if (++count_ > most_told_) return;
+  if (++count_ > max_reported_) return;
   lines_.append(file_).append(": ").append(place.empty() ? "the document" : place);
   lines_.append(": ").append(text).append("\n");
 }
@@ -40,27 +40,28 @@
   }
   for (const auto& [key, unused] : value.items()) {
     if (std::ranges::find(members, key) == members.end())
-      AddError(Below(place, key), "is not known here, write one of: " + Listed(members));
+      AddError(JoinPath(place, key), "is not known here, write one of: " + JoinList(members));
   }
   return true;
 }
 
 bool DocumentChecker::Number(const json& value, const std::string& place, double least, double most) {
-  const bool legal = value.is_number() && value.get<double>() >= least && value.get<double>() <= most;
-  if (!legal)
-    AddError(place, "is " + Shown(value) + ", write a number from " + Plain(least) + " to " + Plain(most));
-  return legal;
+  const bool valid = value.is_number() && value.get<double>() >= least && value.get<double>() <= most;
+  if (!valid)
+    AddError(place, "is " + FormatValue(value) + ", write a number from " + FormatNumber(least) + " to " +
+                        FormatNumber(most));
+  return valid;
 }
 
-std::string DocumentChecker::Shown(const json& value) const {
+std::string DocumentChecker::FormatValue(const json& value) const {
   const std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-  return text.size() > most_shown_ ? text.substr(0, most_shown_ - 3) + "..." : text;
+  return text.size() > max_value_bytes_ ? text.substr(0, max_value_bytes_ - 3) + "..." : text;
 }
 
 void DocumentChecker::ThrowIfInvalid() const {
   if (good()) return;
   std::string text = lines_;
-  if (count_ > most_told_) text += file_ + ": and " + std::to_string(count_ - most_told_) + " more\n";
+  if (count_ > max_reported_) text += file_ + ": and " + std::to_string(count_ - max_reported_) + " more\n";
   throw DocumentError(text.substr(0, text.size() - 1));
 }
 
--- a/src/json_files/load.cpp
+++ b/src/json_files/load.cpp
@@ -6,13 +6,14 @@
 
 namespace cluster_manager::json_files {
 
-nlohmann::json Load(const std::string& file) {
+nlohmann::json LoadDocument(const std::string& file) {
   std::ifstream in(file);
   if (!in) throw DocumentError(file + ": cannot be read");
   try {
     return nlohmann::json::parse(in);
   } catch (const nlohmann::json::parse_error& error) {
-    throw DocumentError(file + ": byte " + std::to_string(error.byte) + ": is no JSON: " + error.what());
+    throw DocumentError(file + ": byte " + std::to_string(error.byte) +
+                        ": is not valid JSON: " + error.what());
   }
 }
 
--- a/src/json_files/load.h
+++ b/src/json_files/load.h
@@ -1,4 +1,4 @@
-// Files of operators that hold one JSON document, for the modules that read them.
+// Loading of files written by operators that contain one JSON document.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,7 +6,7 @@
 
 namespace cluster_manager::json_files {
 
-// Throws DocumentError, naming the file and, where it is no JSON, the byte.
-nlohmann::json Load(const std::string& file);
+// Throws DocumentError with the name of the file and, if it is not valid JSON, the byte offset.
+nlohmann::json LoadDocument(const std::string& file);
 
 }  // namespace cluster_manager::json_files
--- a/src/spending/plan.cpp
+++ b/src/spending/plan.cpp
@@ -10,8 +10,8 @@
 namespace cluster_manager::spending {
 namespace {
 
-using json_files::Below;
-using json_files::Listed;
+using json_files::JoinList;
+using json_files::JoinPath;
 using nlohmann::json;
 
 std::string Indexed(const std::string& place, std::size_t i) { return place + "[" + std::to_string(i) + "]"; }
@@ -25,11 +25,12 @@
   const json* ReadList(const json& in, const std::string& place, const char* name, std::size_t max) {
     const auto it = in.find(name);
     if (it == in.end()) {
-      AddError(Below(place, name), "is missing, write a list");
+      AddError(JoinPath(place, name), "is missing, write a list");
       return nullptr;
     }
     if (!it->is_array() || it->empty() || it->size() > max) {
-      AddError(Below(place, name), "is " + Shown(*it) + ", write a list of 1 to " + std::to_string(max));
+      AddError(JoinPath(place, name),
+               "is " + FormatValue(*it) + ", write a list of 1 to " + std::to_string(max));
       return nullptr;
     }
     return &*it;
@@ -40,19 +41,19 @@
                         double scale, std::int64_t* result) {
     const auto it = in.find(name);
     if (it == in.end()) return;
-    if (!Number(*it, Below(place, name), min, max)) return;
+    if (!Number(*it, JoinPath(place, name), min, max)) return;
     *result = static_cast<std::int64_t>(it->get<double>() * scale + 0.5);
   }
   bool ReadMoney(const json& in, const std::string& place, const char* name, Money* result) {
     const auto it = in.find(name);
     if (it == in.end()) {
-      AddError(Below(place, name), std::string("is missing, write ") + kMoneyFormat);
+      AddError(JoinPath(place, name), std::string("is missing, write ") + kMoneyFormat);
       return false;
     }
     std::optional<Money> money;
     if (it->is_string()) money = ParseMoney(it->get<std::string>());
     if (it->is_number_unsigned()) money = ParseMoney(it->dump());
-    if (!money) AddError(Below(place, name), "is " + Shown(*it) + ", write " + kMoneyFormat);
+    if (!money) AddError(JoinPath(place, name), "is " + FormatValue(*it) + ", write " + kMoneyFormat);
     if (money) *result = *money;
     return money.has_value();
   }
@@ -61,7 +62,7 @@
     if (it == in.end()) return false;
     if (!it->is_string() || it->get_ref<const std::string&>().empty() ||
         it->get_ref<const std::string&>().size() > 200) {
-      AddError(Below(place, name), "is " + Shown(*it) + ", write a text of 1 to 200 bytes");
+      AddError(JoinPath(place, name), "is " + FormatValue(*it) + ", write a text of 1 to 200 bytes");
       return false;
     }
     *result = it->get<std::string>();
@@ -88,8 +89,9 @@
     const std::optional<Seconds> at =
         from != entry.end() && from->is_string() ? ParseInstant(from->get<std::string>()) : std::nullopt;
     if (!at) {
-      reader.AddError(place + ".from", (from == entry.end() ? "is missing" : "is " + reader.Shown(*from)) +
-                                           ", write an instant such as \"2026-03-01T00:00:00Z\"");
+      reader.AddError(place + ".from",
+                      (from == entry.end() ? "is missing" : "is " + reader.FormatValue(*from)) +
+                          ", write an instant such as \"2026-03-01T00:00:00Z\"");
     } else if (!dated.empty() && *at <= dated.back().from) {
       reader.AddError(place + ".from", "is " + from->dump() +
                                            ", write an instant after the tariff before it, " +
@@ -148,14 +150,14 @@
     reader.ReadScaledNumber(steps, here, "hard_stop", 0, 10, 1e6, &thresholds->hard_stop);
     if (thresholds->notice > thresholds->no_new_tasks)
       reader.AddError(here + ".notice",
-                      "is " + json_files::Plain(static_cast<double>(thresholds->notice) / 1e6) +
+                      "is " + json_files::FormatNumber(static_cast<double>(thresholds->notice) / 1e6) +
                           ", write at most no_more_workers, " +
-                          json_files::Plain(static_cast<double>(thresholds->no_new_tasks) / 1e6));
+                          json_files::FormatNumber(static_cast<double>(thresholds->no_new_tasks) / 1e6));
     if (thresholds->hard_stop < thresholds->no_new_tasks)
       reader.AddError(here + ".hard_stop",
-                      "is " + json_files::Plain(static_cast<double>(thresholds->hard_stop) / 1e6) +
+                      "is " + json_files::FormatNumber(static_cast<double>(thresholds->hard_stop) / 1e6) +
                           ", write at least no_more_workers, " +
-                          json_files::Plain(static_cast<double>(thresholds->no_new_tasks) / 1e6));
+                          json_files::FormatNumber(static_cast<double>(thresholds->no_new_tasks) / 1e6));
   };
   if (it->contains("*")) {
     StepThresholds common;
@@ -209,7 +211,7 @@
       if (!tenant.empty() && !deployment.tenants.empty() &&
           std::ranges::find(deployment.tenants, tenant) == deployment.tenants.end())
         reader.AddError(here + ".tenant",
-                        "is \"" + tenant + "\", write a configured tenant: " + Listed(deployment.tenants));
+                        "is \"" + tenant + "\", write a configured tenant: " + JoinList(deployment.tenants));
       const auto [known, inserted] = places.emplace(std::pair(tenant, service), here);
       if (!inserted) {
         reader.AddError(here, "is " + selector.dump() + ", which " + known->second +
@@ -287,7 +289,7 @@
 }
 
 Plan LoadPlan(const std::string& file, const Deployment& deployment) {
-  return ParsePlan(json_files::Load(file), file, deployment);
+  return ParsePlan(json_files::LoadDocument(file), file, deployment);
 }
 
 }  // namespace cluster_manager::spending
