--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -22,8 +22,9 @@
 
 namespace fs = std::filesystem;
 
-enum Exit { kDone = 0, kErrors = 1, kUsage = 2 };
+enum Exit { kSuccess = 0, kErrors = 1, kUsage = 2 };
 
+// Reads the files of a configuration from disk.
 class DiskFiles final : public config_language::Files {
  public:
   std::optional<std::string> Read(const std::string& path) override {
@@ -33,24 +34,25 @@
     if (!file) return std::nullopt;
     return std::string(std::istreambuf_iterator<char>(file), {});
   }
-  // A * in the last part of the path alone: folders are named.
+  // Only the last component of the pattern may contain *.
   std::vector<std::string> Glob(const std::string& pattern) override {
-    const fs::path whole(pattern);
-    const std::string last = whole.filename().string();
+    const fs::path path(pattern);
+    const std::string name_pattern = path.filename().string();
     std::vector<std::string> found;
     std::error_code error;
-    const fs::path folder = whole.has_parent_path() ? whole.parent_path() : fs::path(".");
+    const fs::path folder = path.has_parent_path() ? path.parent_path() : fs::path(".");
     for (const auto& entry : fs::directory_iterator(folder, error)) {
       const std::string name = entry.path().filename().string();
-      if (Fits(last, name)) found.push_back(whole.has_parent_path() ? (folder / name).string() : name);
+      if (MatchesPattern(name_pattern, name))
+        found.push_back(path.has_parent_path() ? (folder / name).string() : name);
     }
     return found;
   }
 
  private:
-  static bool Fits(std::string_view pattern, std::string_view name) {
-    std::size_t star = std::string_view::npos;  // the last * of the pattern so far
-    std::size_t mark = 0;                       // where in the name it was met
+  static bool MatchesPattern(std::string_view pattern, std::string_view name) {
+    std::size_t star = std::string_view::npos;  // the last * of the pattern reached
+    std::size_t mark = 0;                       // position in the name at that *
     std::size_t p = 0;
     std::size_t n = 0;
     while (n < name.size()) {
@@ -71,24 +73,25 @@
   }
 };
 
-// To standard error; true where there was any.
-bool Tell(const config_language::Diagnostics& diagnostics,
-          const std::vector<config_language::Source>& sources) {
+// Prints the diagnostics to standard error. Returns true if there are any.
+bool PrintDiagnostics(const config_language::Diagnostics& diagnostics,
+                      const std::vector<config_language::Source>& sources) {
   for (const config_language::Diagnostic& d : diagnostics.all())
     std::fputs(config_language::Render(d, sources).c_str(), stderr);
-  if (diagnostics.dropped() > 0) std::fprintf(stderr, "and %zu errors more\n", diagnostics.dropped());
-  if (diagnostics.any()) std::fprintf(stderr, "`cluster_manager explain CODE` says more of a code\n");
+  if (diagnostics.dropped() > 0) std::fprintf(stderr, "and %zu more errors\n", diagnostics.dropped());
+  if (diagnostics.any())
+    std::fprintf(stderr, "run `cluster_manager explain CODE` for the details of an error code\n");
   return diagnostics.any();
 }
 
-void Evaluate(const std::vector<config_language::Statement>& statements,
-              config_language::Evaluator* evaluator, std::size_t* settings) {
+void EvaluateSettings(const std::vector<config_language::Statement>& statements,
+                      config_language::Evaluator* evaluator, std::size_t* settings) {
   for (const config_language::Statement& s : statements) {
     if (s.form == config_language::Statement::Form::kSetting) {
       evaluator->Of(s.value);
       ++*settings;
     }
-    Evaluate(s.body, evaluator, settings);
+    EvaluateSettings(s.body, evaluator, settings);
   }
 }
 
@@ -98,38 +101,38 @@
   const config_language::Program program = config_language::Load(path, &files, &diagnostics);
   config_language::Evaluator evaluator(program, &diagnostics);
   std::size_t settings = 0;
-  Evaluate(program.settings, &evaluator, &settings);
-  Evaluate(program.blocks, &evaluator, &settings);
+  EvaluateSettings(program.settings, &evaluator, &settings);
+  EvaluateSettings(program.blocks, &evaluator, &settings);
   for (const auto& [name, constant] : program.constants) evaluator.Of(constant.value);
-  if (Tell(diagnostics, program.sources)) return kErrors;
-  std::printf("%s: good; %zu files, %zu blocks, %zu settings, %zu constants\n", path.c_str(),
+  if (PrintDiagnostics(diagnostics, program.sources)) return kErrors;
+  std::printf("%s: valid; %zu files, %zu blocks, %zu settings, %zu constants\n", path.c_str(),
               program.sources.size(), program.blocks.size(), settings, program.constants.size());
-  return kDone;
+  return kSuccess;
 }
 
-// Written beside the file and moved over it: whoever reads it meanwhile has the old text or the new one,
-// whole.
-bool Write(const std::string& path, const std::string& text) {
-  const std::string beside = path + ".new";
+// Replaces the file atomically by renaming a new file over it: readers see either the old or the new text.
+// Returns false on failure.
+bool ReplaceFile(const std::string& path, const std::string& text) {
+  const std::string temporary = path + ".new";
   {
-    std::ofstream file(beside, std::ios::binary | std::ios::trunc);
+    std::ofstream file(temporary, std::ios::binary | std::ios::trunc);
     file << text;
     file.flush();
     if (!file) {
       std::error_code ignored;
-      fs::remove(beside, ignored);
+      fs::remove(temporary, ignored);
       return false;
     }
   }
   std::error_code error;
   const fs::perms mode = fs::status(path, error).permissions();
-  if (!error) fs::permissions(beside, mode, error);
-  fs::rename(beside, path, error);
+  if (!error) fs::permissions(temporary, mode, error);
+  fs::rename(temporary, path, error);
   return !error;
 }
 
 int FormatFiles(const std::vector<std::string>& paths, bool write, bool check) {
-  int exit = kDone;
+  int exit = kSuccess;
   for (const std::string& path : paths) {
     DiskFiles files;
     const std::optional<std::string> text = files.Read(path);
@@ -141,18 +144,18 @@
     sources.emplace_back(path, *text);
     config_language::Diagnostics diagnostics;
     const config_language::Document document = config_language::Parse(sources[0], 0, &diagnostics);
-    if (Tell(diagnostics, sources)) {
+    if (PrintDiagnostics(diagnostics, sources)) {
       exit = kErrors;
-      continue;  // a text with errors is nobody's to write
+      continue;  // files with errors are not rewritten
     }
-    const std::string written = config_language::Format(document);
+    const std::string formatted = config_language::Format(document);
     if (check) {
-      if (written == *text) continue;
-      std::printf("%s: not in its written form\n", path.c_str());
+      if (formatted == *text) continue;
+      std::printf("%s: not formatted\n", path.c_str());
       exit = kErrors;
     } else if (!write) {
-      std::fputs(written.c_str(), stdout);
-    } else if (written != *text && !Write(path, written)) {
+      std::fputs(formatted.c_str(), stdout);
+    } else if (formatted != *text && !ReplaceFile(path, formatted)) {
       std::fprintf(stderr, "%s: cannot be written\n", path.c_str());
       return kUsage;
     }
@@ -166,18 +169,19 @@
       std::printf("%.*s  %.*s\n", static_cast<int>(e.code.size()), e.code.data(),
                   static_cast<int>(e.title.size()), e.title.data());
     }
-    return kDone;
+    return kSuccess;
   }
   const config_language::Explanation* e = config_language::Explain(code);
   if (e == nullptr) {
-    std::fprintf(stderr, "no error has the code %s; `cluster_manager explain` lists them\n", code.c_str());
+    std::fprintf(stderr, "unknown error code %s; `cluster_manager explain` lists the codes\n", code.c_str());
     return kUsage;
   }
   std::printf("%s: %s\n\n%s\n", code.c_str(), std::string(e->title).c_str(), std::string(e->text).c_str());
-  return kDone;
+  return kSuccess;
 }
 
-int ServeOrSay(const Files& files) {
+// Serves, and prints the error if that fails.
+int ServeAndReport(const Files& files) {
   try {
     return Serve(files);
   } catch (const std::exception& error) {
@@ -186,7 +190,7 @@
   }
 }
 
-// What the command line holds beside the commands' names; lives as long as the parser that fills it.
+// The parsed arguments. Must outlive the parser that sets them.
 struct Options {
   std::string path;
   std::string code;
@@ -194,82 +198,87 @@
   bool write = false;
   bool check_only = false;
   Files files;
-  SitesCall sites;
-  int exit = kDone;
+  SitesArguments sites;
+  int exit = kSuccess;
 };
 
 void AddServe(CLI::App* app, Options* options) {
-  CLI::App* serve = app->add_subcommand("serve", "serve, as without a command");
-  serve->add_option("--sites", options->files.sites, "the plan for the loss of sites, as deploy/sites.json");
-  serve->callback([options] { options->exit = ServeOrSay(options->files); });
+  CLI::App* serve = app->add_subcommand("serve", "serve, the default without a command");
+  serve->add_option("--sites", options->files.sites,
+                    "the plan of zone failover, for example deploy/sites.json");
+  serve->callback([options] { options->exit = ServeAndReport(options->files); });
 }
 
 void AddLanguageCommands(CLI::App* app, Options* options) {
-  CLI::App* check = app->add_subcommand("check", "read a configuration, and say all that is wrong with it");
-  check->add_option("FILE", options->path, "its first file")->required();
+  CLI::App* check = app->add_subcommand("check", "check a configuration and print all errors");
+  check->add_option("FILE", options->path, "the main file of the configuration")->required();
   check->callback([options] { options->exit = Check(options->path); });
 
-  CLI::App* format = app->add_subcommand("fmt", "write texts in their one form, to standard output");
-  format->add_option("FILE", options->paths, "texts")->required();
-  CLI::Option* check_only = format->add_flag("--check", options->check_only,
-                                             "write nothing; exit 1 and name those that are not in it");
-  format->add_flag("-w,--write", options->write, "in place")->excludes(check_only);
+  CLI::App* format = app->add_subcommand("fmt", "format configuration files, to standard output");
+  format->add_option("FILE", options->paths, "files to format")->required();
+  CLI::Option* check_only = format->add_flag(
+      "--check", options->check_only, "write nothing; name the files that are not formatted and exit with 1");
+  format->add_flag("-w,--write", options->write, "rewrite the files in place")->excludes(check_only);
   format->callback(
       [options] { options->exit = FormatFiles(options->paths, options->write, options->check_only); });
 
-  CLI::App* explain = app->add_subcommand("explain", "say what a code of an error means, or list all");
-  explain->add_option("CODE", options->code, "as L006");
+  CLI::App* explain = app->add_subcommand("explain", "explain an error code, or list all codes");
+  explain->add_option("CODE", options->code, "for example L006");
   explain->callback([options] { options->exit = Explain(options->code); });
 }
 
-void AddZonePlanCommands(CLI::App* app, Options* options) {
-  CLI::App* plan = app->add_subcommand("sites", "the plan for the loss of sites, without losing any");
+void AddSitesCommands(CLI::App* app, Options* options) {
+  CLI::App* plan = app->add_subcommand("sites", "check a plan of zone failover and calculate its effect");
   plan->require_subcommand(1);
-  SitesCall& call = options->sites;
+  SitesArguments& arguments = options->sites;
   const auto add = [&](const char* name, const char* description) {
     CLI::App* command = plan->add_subcommand(name, description);
-    command->add_option("PLAN", call.plan, "as deploy/sites.json")->required();
-    command->add_option("--config", call.config, "a cluster manager's configuration: settings, known list")
+    command->add_option("PLAN", arguments.plan, "for example deploy/sites.json")->required();
+    command
+        ->add_option("--config", arguments.config,
+                     "the configuration of a cluster manager, with settings and known list")
         ->required();
     return command;
   };
-  add("check", "read a plan, and say all that is wrong with it")->callback([options] {
+  add("check", "check a plan and print all errors")->callback([options] {
     options->exit = CheckSites(options->sites);
   });
-  CLI::App* drill = add("drill", "say what a loss would bring about, by sums alone");
-  drill->add_option("--lose", call.lose, "the sites to be lost")->required();
-  drill->add_option("--list", call.list, "the list of nodes, as the bulletin tells it; else the known one");
-  drill->add_option("--mix", call.mix, "CLASS=SHARE of the cores asked for; else all classes alike");
-  drill->add_flag("--json", call.json, "as JSON");
+  CLI::App* drill = add("drill", "calculate the effect of a loss of sites");
+  drill->add_option("--lose", arguments.lose, "the sites that are lost")->required();
+  drill->add_option("--list", arguments.list,
+                    "the endpoint list, as from discovery; default: the known list of the configuration");
+  drill->add_option("--mix", arguments.mix, "CLASS=SHARE of the requested cores; default: equal shares");
+  drill->add_flag("--json", arguments.json, "print JSON");
   drill->callback([options] { options->exit = DrillSites(options->sites); });
 }
 
 }  // namespace
 
-int Run(int count, char** words) {
-  if (count <= 1) return ServeOrSay({});  // what `run` calls: nothing is set up for words that are not there
+int Run(int count, char** arguments) {
+  if (count <= 1) return ServeAndReport({});  // skips setting up the parser when there are no arguments
   CLI::App app(
       "cluster_manager, the cluster manager of willowrail.\n\n"
-      "  cluster_manager                      serves, by the configuration that ROUTER_CONFIG names\n"
-      "  cluster_manager check site.willow    reads a configuration and all that it includes\n"
-      "  cluster_manager fmt -w *.willow      writes texts in their one form\n"
-      "  cluster_manager explain L006         says what a code means\n"
-      "  cluster_manager sites drill deploy/sites.json --config n0.json --lose hall-b\n"
-      "                                  says what the loss of a site would bring about\n\n"
-      "Exit status: 0 done, 1 errors in the texts, 2 a wrong call or a file that cannot be read or written.");
+      "  cluster_manager                      serves with the configuration file named by ROUTER_CONFIG\n"
+      "  cluster_manager check site.willow    checks a configuration and all files that it includes\n"
+      "  cluster_manager fmt -w *.willow      formats configuration files in place\n"
+      "  cluster_manager explain L006         explains an error code\n"
+      "  cluster_manager sites drill deploy/sites.json --config n0.json --lose SITE\n"
+      "                                  calculates the effect of a loss of a site\n\n"
+      "Exit status: 0 success, 1 errors in the files, 2 invalid arguments or a file that cannot be read or "
+      "written.");
   app.name("cluster_manager");
   app.require_subcommand(1);
   Options options;
   AddServe(&app, &options);
   AddLanguageCommands(&app, &options);
-  AddZonePlanCommands(&app, &options);
+  AddSitesCommands(&app, &options);
   app.add_subcommand("version", "print the version")->callback([] {
     std::puts("cluster_manager " WILLOWRAIL_VERSION);
   });
   try {
-    app.parse(count, words);
+    app.parse(count, arguments);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kDone : kUsage;  // help is no error
+    return app.exit(error) == 0 ? kSuccess : kUsage;  // asking for help is not an error
   }
   return options.exit;
 }
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,10 +1,10 @@
-// The command line: commands, help, exit codes. Without a word behind it the program serves, as `run` has it.
+// The command line of the program: commands, help and exit codes. Without arguments the program serves.
 #pragma once
 
 namespace cluster_manager::cli {
 
-// 0: done; 1: the texts have errors, or are not in their written form; 2: the call itself is wrong, or a file
-// cannot be written; else what serving returned.
-int Run(int count, char** words);
+// Runs the command and returns the exit code. 0: success; 1: the files have errors or are not formatted; 2:
+// invalid arguments, or a file cannot be read or written; otherwise the exit code of serving.
+int Run(int count, char** arguments);
 
 }  // namespace cluster_manager::cli
--- a/src/cli/sites_command.cpp
+++ b/src/cli/sites_command.cpp
@@ -18,6 +18,7 @@
 
 using nlohmann::json;
 
+// An error in the arguments or in a file that they name.
 struct UsageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -30,64 +31,65 @@
   }
 }
 
-// The last that was told of each node, by uid: a list is events of the bulletin, one of them, or its targets.
-std::map<std::string, json> Targets(const json& list, const std::string& path) {
+// The latest entry of each node, by uid. The list is an array of discovery events, a single event, or an
+// array of targets.
+std::map<std::string, json> LatestTargets(const json& list, const std::string& path) {
   std::map<std::string, json> targets;
   const json* items = &list;
   if (list.contains("items")) items = &list["items"];
-  const auto take = [&](const json& all) {
+  const auto add_targets = [&](const json& all) {
     for (const json& target : all) {
       if (!target.is_object() || !target.contains("uid") || !target.contains("az"))
-        throw UsageError(path + ": a target without \"uid\" and \"az\": " + target.dump());
+        throw UsageError(path + ": a target lacks \"uid\" or \"az\": " + target.dump());
       targets[target["uid"]] = target;
     }
   };
-  const auto event = [&](const json& each) {
-    const json& roster = each.contains("roster") ? each["roster"] : each;
-    if (!roster.is_object() || !roster.contains("targets"))
-      throw UsageError(path + ": neither events of the bulletin nor targets");
-    if (roster.value("all", false)) targets.clear();
-    take(roster["targets"]);
+  const auto apply_event = [&](const json& event) {
+    const json& list_update = event.contains("roster") ? event["roster"] : event;
+    if (!list_update.is_object() || !list_update.contains("targets"))
+      throw UsageError(path + ": contains neither discovery events nor targets");
+    if (list_update.value("all", false)) targets.clear();
+    add_targets(list_update["targets"]);
   };
   if (items->is_array() && !items->empty() && items->front().contains("uid")) {
-    take(*items);
+    add_targets(*items);
   } else if (items->is_array()) {
-    for (const json& each : *items) event(each);
+    for (const json& event : *items) apply_event(event);
   } else {
-    event(*items);
+    apply_event(*items);
   }
   return targets;
 }
 
-int NumberOf(const std::vector<std::string>& names, const std::string& name) {
+int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::ranges::find(names, name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-// NOLINTNEXTLINE(bugprone-exception-escape): the destructor of JSON may allocate, as the library has it
-struct Read {
+// NOLINTNEXTLINE(bugprone-exception-escape): the destructor of the JSON library may allocate
+struct LoadedConfig {
   Config config;
   zone_failover::Deployment deployment;
   json known;
 };
 
-Read ReadConfigFile(const std::string& path) {
+LoadedConfig ReadConfigFile(const std::string& path) {
   const json file = ReadJson(path);
-  Read read;
+  LoadedConfig loaded;
   try {
-    read.config = ReadConfig(file);
+    loaded.config = ReadConfig(file);
   } catch (const std::exception& error) {
     throw UsageError(path + ": " + error.what());
   }
-  read.deployment = zone_failover::DeploymentOf(read.config.settings, read.config.zones);
-  read.known = read.config.known_list;
-  return read;
+  loaded.deployment = zone_failover::DeploymentOf(loaded.config.settings, loaded.config.zones);
+  loaded.known = loaded.config.known_list;
+  return loaded;
 }
 
-template <typename Work>
-int Run(Work work) {
+template <typename Command>
+int Run(Command command) {
   try {
-    return work();
+    return command();
   } catch (const UsageError& error) {
     std::fprintf(stderr, "%s\n", error.what());
     return 2;
@@ -99,33 +101,35 @@
 
 }  // namespace
 
-int CheckSites(const SitesCall& call) {
+int CheckSites(const SitesArguments& arguments) {
   return Run([&] {
-    const Read read = ReadConfigFile(call.config);
-    const zone_failover::Plan plan = zone_failover::LoadPlan(call.plan, read.deployment);
-    std::printf("%s: good; %d ranks, %zu sites\n", call.plan.c_str(), plan.ranks(),
-                read.deployment.sites.size());
+    const LoadedConfig loaded = ReadConfigFile(arguments.config);
+    const zone_failover::Plan plan = zone_failover::LoadPlan(arguments.plan, loaded.deployment);
+    std::printf("%s: valid; %d ranks, %zu sites\n", arguments.plan.c_str(), plan.ranks(),
+                loaded.deployment.sites.size());
     return 0;
   });
 }
 
-int DrillSites(const SitesCall& call) {
+int DrillSites(const SitesArguments& arguments) {
   return Run([&] {
-    const Read read = ReadConfigFile(call.config);
-    const zone_failover::Plan plan = zone_failover::LoadPlan(call.plan, read.deployment);
-    const scheduling::Settings& settings = read.config.settings;
-    const std::string from = call.list.empty() ? call.config : call.list;
+    const LoadedConfig loaded = ReadConfigFile(arguments.config);
+    const zone_failover::Plan plan = zone_failover::LoadPlan(arguments.plan, loaded.deployment);
+    const scheduling::Settings& settings = loaded.config.settings;
+    const std::string source = arguments.list.empty() ? arguments.config : arguments.list;
     std::vector<zone_failover::DrillNode> nodes;
-    for (const auto& [uid, target] : Targets(call.list.empty() ? read.known : ReadJson(call.list), from)) {
+    for (const auto& [uid, target] :
+         LatestTargets(arguments.list.empty() ? loaded.known : ReadJson(arguments.list), source)) {
       zone_failover::DrillNode node;
-      node.site = NumberOf(read.deployment.sites, target.value("az", ""));
+      node.site = IndexOf(loaded.deployment.sites, target.value("az", ""));
       if (node.site < 0) {
-        std::string text = from;
-        text.append(": ").append(uid).append(" stands in ").append(target["az"].dump());
-        text.append(", which the settings do not name: ").append(json_files::JoinList(read.deployment.sites));
+        std::string text = source;
+        text.append(": ").append(uid).append(" is in ").append(target["az"].dump());
+        text.append(", which is not in the settings; the sites are: ")
+            .append(json_files::JoinList(loaded.deployment.sites));
         throw UsageError(text);
       }
-      const int kind = std::max(0, NumberOf(read.config.node_kinds, target.value("model", "")));
+      const int kind = std::max(0, IndexOf(loaded.config.node_kinds, target.value("model", "")));
       node.cores = settings.kind_cores.at(static_cast<std::size_t>(kind));
       node.memory = settings.kind_memory.at(static_cast<std::size_t>(kind));
       const json free = target.value("unasked", json::array({node.cores, node.memory}));
@@ -134,32 +138,33 @@
       node.in_service = target.value("state", "in_service") == "in_service";
       nodes.push_back(node);
     }
-    std::vector<int> lose;
-    for (const std::string& name : call.lose) {
-      lose.push_back(NumberOf(read.deployment.sites, name));
-      if (lose.back() < 0)
-        throw UsageError("--lose " + name + ": there is no such site, the settings name: " +
-                         json_files::JoinList(read.deployment.sites));
+    std::vector<int> lost_sites;
+    for (const std::string& name : arguments.lose) {
+      lost_sites.push_back(IndexOf(loaded.deployment.sites, name));
+      if (lost_sites.back() < 0)
+        throw UsageError("--lose " + name +
+                         ": unknown site; the sites are: " + json_files::JoinList(loaded.deployment.sites));
     }
-    zone_failover::DrillParameters terms;
-    for (const std::string& each : call.mix) {
+    zone_failover::DrillParameters parameters;
+    for (const std::string& each : arguments.mix) {
       const std::size_t equals = each.find('=');
       double share = -1;
       if (equals != std::string::npos)
         std::from_chars(each.data() + equals + 1, each.data() + each.size(), share);
       const std::string name = each.substr(0, equals);
-      if (share < 0 || NumberOf(read.deployment.classes, name) < 0)
+      if (share < 0 || IndexOf(loaded.deployment.classes, name) < 0)
         throw UsageError("--mix " + each + ": write CLASS=SHARE, with a class of: " +
-                         json_files::JoinList(read.deployment.classes));
-      terms.mix[name] = share;
+                         json_files::JoinList(loaded.deployment.classes));
+      parameters.mix[name] = share;
     }
-    terms.patience = read.config.dial_timeout;
-    terms.cold = settings.slow_start_duration;
-    terms.fall = settings.overload_window;
-    terms.cold_sends = settings.slow_start_sends;
-    const zone_failover::Drill drill = zone_failover::RunDrill(plan, read.deployment, nodes, lose, terms);
+    parameters.patience = loaded.config.dial_timeout;
+    parameters.cold = settings.slow_start_duration;
+    parameters.fall = settings.overload_window;
+    parameters.cold_sends = settings.slow_start_sends;
+    const zone_failover::Drill drill =
+        zone_failover::RunDrill(plan, loaded.deployment, nodes, lost_sites, parameters);
     const std::string text =
-        call.json ? zone_failover::AsJson(drill).dump(2) + "\n" : zone_failover::AsTable(drill);
+        arguments.json ? zone_failover::AsJson(drill).dump(2) + "\n" : zone_failover::AsTable(drill);
     std::fputs(text.c_str(), stdout);
     return drill.broken.empty() ? 0 : 1;
   });
--- a/src/cli/sites_command.h
+++ b/src/cli/sites_command.h
@@ -1,5 +1,5 @@
-// `cluster_manager sites check PLAN` and `cluster_manager sites drill PLAN`: the plan for lost sites, without
-// losing any.
+// The commands `cluster_manager sites check PLAN` and `cluster_manager sites drill PLAN`: they check a plan
+// of zone failover and calculate the effect of a failure.
 #pragma once
 
 #include <string>
@@ -7,14 +7,16 @@
 
 namespace cluster_manager::cli {
 
-struct SitesCall {
-  std::string plan, config, list;  // files; list empty: what the configuration knows
+// The arguments of the commands.
+struct SitesArguments {
+  std::string plan, config, list;  // files; if `list` is empty, the list in the configuration is used
   std::vector<std::string> lose, mix;
   bool json = false;
 };
 
-// Exit status: 0 the plan holds, 1 it cannot keep what it promises or is wrong, 2 a wrong call.
-int CheckSites(const SitesCall& call);
-int DrillSites(const SitesCall& call);
+// Both return the exit code. 0: the plan is valid and satisfies its guarantees; 1: it does not; 2: invalid
+// arguments.
+int CheckSites(const SitesArguments& arguments);
+int DrillSites(const SitesArguments& arguments);
 
 }  // namespace cluster_manager::cli
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -1,4 +1,4 @@
-// The command line, as a person meets it: the real program, its output, errors and exit codes.
+// Runs the real program and checks its output, error messages and exit codes.
 #include <doctest/doctest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,13 +14,14 @@
 
 namespace fs = std::filesystem;
 
-struct Desk {
-  Desk() {
+// A temporary folder in which the program runs.
+struct Workspace {
+  Workspace() {
     std::string name = (fs::temp_directory_path() / "willowrail-cli-XXXXXX").string();
     REQUIRE(::mkdtemp(name.data()) != nullptr);
     folder = name;
   }
-  ~Desk() { fs::remove_all(folder); }
+  ~Workspace() { fs::remove_all(folder); }
   void Put(const std::string& name, const std::string& text) const {
     fs::create_directories((folder / name).parent_path());
     std::ofstream(folder / name, std::ios::binary) << text;
@@ -29,80 +30,80 @@
     std::ifstream file(folder / name, std::ios::binary);
     return std::string(std::istreambuf_iterator<char>(file), {});
   }
-  int Run(const std::string& words) {
+  int Run(const std::string& arguments) {
     const std::string command = "cd '" + folder.string() +
-                                "' && env -u ROUTER_CONFIG '" CLUSTER_MANAGER_PROGRAM "' " + words +
+                                "' && env -u ROUTER_CONFIG '" CLUSTER_MANAGER_PROGRAM "' " + arguments +
                                 " >.out 2>.err </dev/null";
     const int status = std::system(command.c_str());
     out = Get(".out");
     err = Get(".err");
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
   }
-  bool Says(const std::string& text) const { return err.find(text) != std::string::npos; }
+  bool ErrorContains(const std::string& text) const { return err.find(text) != std::string::npos; }
 
   fs::path folder;
   std::string out, err;
 };
 
-TEST_CASE_FIXTURE(Desk, "check reads all files and counts what it found") {
+TEST_CASE_FIXTURE(Workspace, "check reads all files and prints their counts") {
   Put("site.willow", "include \"pools/*.willow\"\nlet quick = 800ms\nroute r {\n  wait = quick * 2\n}\n");
   Put("pools/a.willow", "pool a {\n  share = 5%\n}\n");
   Put("pools/b.willow", "pool b {}\n");
   Put("pools/notes.txt", "not a configuration {\n");
   CHECK(Run("check site.willow") == 0);
-  CHECK(out == "site.willow: good; 3 files, 3 blocks, 2 settings, 1 constants\n");
+  CHECK(out == "site.willow: valid; 3 files, 3 blocks, 2 settings, 1 constants\n");
   CHECK(err == "");
 }
 
-TEST_CASE_FIXTURE(Desk, "check names file, line and fix of every error, and exits 1") {
+TEST_CASE_FIXTURE(Workspace, "check prints the file and line and fix of every error and exits with 1") {
   Put("site.willow", "include \"gone.willow\"\npool a {\n  wait = 800sec\n  most = 1s + 1GiB\n}\n");
   CHECK(Run("check site.willow") == 1);
   CHECK(out == "");
-  CHECK(Says("site.willow:1:9: error R001"));
-  CHECK(Says("site.willow:3:13: error L006"));
-  CHECK(Says("fix: write 800s"));
-  CHECK(Says("site.willow:4:10: error T001"));
+  CHECK(ErrorContains("site.willow:1:9: error R001"));
+  CHECK(ErrorContains("site.willow:3:13: error L006"));
+  CHECK(ErrorContains("fix: write 800s"));
+  CHECK(ErrorContains("site.willow:4:10: error T001"));
   CHECK(Run("check none.willow") == 1);
-  CHECK(Says("none.willow:1:1: error R001"));
+  CHECK(ErrorContains("none.willow:1:1: error R001"));
 }
 
-TEST_CASE_FIXTURE(Desk, "fmt writes to standard output, in place, or only says what is not in its form") {
-  const std::string loose = "pool   a{ x=1 # one\n}\n", form = "pool a {\n  x = 1  # one\n}\n";
-  Put("a.willow", loose);
-  Put("b.willow", form);
+TEST_CASE_FIXTURE(Workspace, "fmt writes to standard output or in place or only names unformatted files") {
+  const std::string unformatted = "pool   a{ x=1 # one\n}\n", formatted = "pool a {\n  x = 1  # one\n}\n";
+  Put("a.willow", unformatted);
+  Put("b.willow", formatted);
   CHECK(Run("fmt a.willow b.willow") == 0);
-  CHECK(out == form + form);
-  CHECK(Get("a.willow") == loose);
+  CHECK(out == formatted + formatted);
+  CHECK(Get("a.willow") == unformatted);
   CHECK(Run("fmt --check a.willow b.willow") == 1);
-  CHECK(out == "a.willow: not in its written form\n");
+  CHECK(out == "a.willow: not formatted\n");
   CHECK(Run("fmt -w a.willow b.willow") == 0);
   CHECK(out == "");
-  CHECK(Get("a.willow") == form);
+  CHECK(Get("a.willow") == formatted);
   CHECK(Run("fmt --check a.willow b.willow") == 0);
   CHECK_FALSE(fs::exists(folder / "a.willow.new"));
 }
 
-TEST_CASE_FIXTURE(Desk, "a text with errors is never written, and the others are") {
+TEST_CASE_FIXTURE(Workspace, "fmt skips a file with errors and rewrites the others") {
   const std::string broken = "pool a {\n  x = = 1\n";
   Put("a.willow", broken);
   Put("b.willow", "let   x=1\n");
   CHECK(Run("fmt -w a.willow b.willow") == 1);
-  CHECK(Says("a.willow:2:7: error P004"));
+  CHECK(ErrorContains("a.willow:2:7: error P004"));
   CHECK(Get("a.willow") == broken);
   CHECK(Get("b.willow") == "let x = 1\n");
   CHECK(Run("fmt gone.willow") == 2);
 }
 
-TEST_CASE_FIXTURE(Desk, "explain knows every code that it lists, and says when there is none") {
+TEST_CASE_FIXTURE(Workspace, "explain lists and explains codes and rejects an unknown code") {
   CHECK(Run("explain") == 0);
   CHECK(out.find("L006  a unit that there is not\n") != std::string::npos);
   CHECK(Run("explain R002") == 0);
   CHECK(out.find("R002: files that include each other") == 0);
   CHECK(Run("explain X999") == 2);
-  CHECK(Says("no error has the code X999"));
+  CHECK(ErrorContains("unknown error code X999"));
 }
 
-TEST_CASE_FIXTURE(Desk, "help, version, and calls that are wrong") {
+TEST_CASE_FIXTURE(Workspace, "help and version and invalid arguments") {
   CHECK(Run("--help") == 0);
   CHECK(out.find("cluster_manager check site.willow") != std::string::npos);
   CHECK(Run("version") == 0);
@@ -112,11 +113,13 @@
   CHECK(Run("check") == 2);
 }
 
-TEST_CASE_FIXTURE(Desk, "without a command it serves, and says plainly when it cannot") {
+TEST_CASE_FIXTURE(Workspace, "without a command the program serves and reports why it cannot") {
   CHECK(Run("") == 1);
-  CHECK(Says("cluster_manager: ROUTER_CONFIG is not set; set it to the path of a configuration file"));
+  CHECK(
+      ErrorContains("cluster_manager: ROUTER_CONFIG is not set; set it to the path of a configuration file"));
   CHECK(Run("serve") == 1);
-  CHECK(Says("cluster_manager: ROUTER_CONFIG is not set; set it to the path of a configuration file"));
+  CHECK(
+      ErrorContains("cluster_manager: ROUTER_CONFIG is not set; set it to the path of a configuration file"));
 }
 
 }  // namespace
