--- a/tests/compatibility_deploy_test.cpp
+++ b/tests/compatibility_deploy_test.cpp
@@ -1,5 +1,5 @@
-// The operators' files of deploy/, kept here as existing installations have them: each is read, each value
-// arrives from its key, and a key that is changed by one letter is refused.
+// The files of deploy/ as existing installations have them: each value is read from its key, and a key
+// changed by one letter is rejected.
 #include <doctest/doctest.h>
 
 #include <exception>
@@ -41,8 +41,8 @@
   }
 }
 
-// Each key of the document, changed in its last letter, is refused by the reader.
-void CheckRenamedKeysRefused(const json& document, const std::function<void(const json&)>& read) {
+// Checks that `read` rejects the document if the last letter of any key is changed.
+void CheckRenamedKeysRejected(const json& document, const std::function<void(const json&)>& read) {
   REQUIRE_NOTHROW(read(document));
   std::vector<Pointer> keys;
   CollectKeys(document, Pointer(), &keys);
@@ -65,7 +65,7 @@
   return {{"hall-a", "hall-b"}, {"web-api", "settlement"}, {2, 1}, 1, 0};
 }
 
-TEST_CASE("the kept sites.json is read with the values in it") {
+TEST_CASE("the stored sites.json is read with its values") {
   const zone_failover::Plan plan = zone_failover::LoadPlan(DataFile("sites.json"), TwoClasses());
   CHECK(plan.version == 1);
   CHECK(plan.watch.suspect_share == 0.4);
@@ -98,7 +98,7 @@
   CHECK(plan.ranks() == 8);
 }
 
-// Each key that a plan may have, with a value that is not the default.
+// Every key of a plan with a value that is not the default.
 json EverySitesKey() {
   return {{"version", 1},
           {"verdict",
@@ -135,7 +135,7 @@
           {"refusals", {{"away_least_ms", 302}, {"away_most_ms", 3002}}}};
 }
 
-TEST_CASE("each key that sites.json may have carries its value") {
+TEST_CASE("each key of sites.json sets its value") {
   const zone_failover::Plan plan = zone_failover::ReadPlan(EverySitesKey(), "sites.json", TwoClasses());
   CHECK(plan.watch.suspect_share == 0.5);
   CHECK(plan.watch.least == 3);
@@ -172,17 +172,17 @@
   CHECK(plan.away_most == 3'002 * kMillisecond);
 }
 
-TEST_CASE("a key of sites.json that is changed by one letter is refused") {
+TEST_CASE("a key of sites.json changed by one letter is rejected") {
   const auto read = [](const json& document) {
     zone_failover::ReadPlan(document, "sites.json", TwoClasses());
   };
-  CheckRenamedKeysRefused(Read("sites.json"), read);
-  CheckRenamedKeysRefused(EverySitesKey(), read);
+  CheckRenamedKeysRejected(Read("sites.json"), read);
+  CheckRenamedKeysRejected(EverySitesKey(), read);
 }
 
 // --- budgets.json
 
-TEST_CASE("the kept budgets.json is read with the values in it") {
+TEST_CASE("the stored budgets.json is read with its values") {
   const budgets::BudgetFile file = budgets::LoadBudgets(DataFile("budgets.json"));
   CHECK(file.version == 1);
   REQUIRE(file.members.size() == 5);
@@ -210,7 +210,7 @@
   budgets::Micro floor_share;
 };
 
-TEST_CASE("the budgets of the kept budgets.json are read in their order") {
+TEST_CASE("the budgets of the stored budgets.json are read in order") {
   using budgets::Kind;
   const std::vector<ExpectedRule> expected = {
       {"cold_starts", "*", Kind::kRate, 4, 1, 1500, 0, 0},
@@ -239,7 +239,7 @@
   CHECK(file.rules[5].explicit_guarantees == std::map<std::string, budgets::Micro>{{"n0", 20'000'000}});
 }
 
-TEST_CASE("each key of budgets.json that the kept one leaves at its default carries its value") {
+TEST_CASE("each key of budgets.json that the stored file omits sets its value") {
   json document = Read("budgets.json");
   document["lease_ms"] = 3001;
   document["skew_ms"] = 201;
@@ -260,18 +260,18 @@
   CHECK(file.members[1].weight == 2);
 }
 
-TEST_CASE("a key of budgets.json that is changed by one letter is refused") {
+TEST_CASE("a key of budgets.json changed by one letter is rejected") {
   json document = Read("budgets.json");
   document["members"][1]["weight"] = 2;
-  CheckRenamedKeysRefused(document,
-                          [](const json& changed) { budgets::ReadBudgets(changed, "budgets.json"); });
+  CheckRenamedKeysRejected(document,
+                           [](const json& changed) { budgets::ReadBudgets(changed, "budgets.json"); });
 }
 
 // --- spending.json
 
 spending::Deployment Payments() { return {{"web-api", "settlement"}, {"std"}, {}, 1, 0, 3 * kSecondLong}; }
 
-TEST_CASE("the kept spending.json is read with the values in it") {
+TEST_CASE("the stored spending.json is read with its values") {
   const spending::Plan plan = spending::LoadPlan(DataFile("spending.json"), Payments());
   REQUIRE(plan.teams.size() == 1);
   const spending::Team& team = plan.teams[0];
@@ -295,14 +295,14 @@
   CHECK(plan.ledger_timeout == 10'000 * kMillisecond);
 }
 
-// What an hour of the size costs from the instant on, in micro-units.
+// The price of one hour of the given size from the given time on, in micro-units.
 spending::Money HourFrom(const spending::Plan& plan, const spending::TaskSize& size,
                          const std::string& instant) {
   const spending::Seconds from = *spending::ParseInstant(instant);
   return spending::Tariffs::RoundUp(plan.tariffs.CostParts(size, 0, from, from + 3600));
 }
 
-TEST_CASE("the tariffs of the kept spending.json price a core, a GiB and a worker by date") {
+TEST_CASE("the tariffs of the stored spending.json price a core and a GiB and a task by date") {
   const spending::Plan plan = spending::LoadPlan(DataFile("spending.json"), Payments());
   const spending::TaskSize nothing, core{1000, 0}, gib{0, 1024};
   CHECK(HourFrom(plan, nothing, "2026-02-01T00:00:00Z") == 1'000);
@@ -313,7 +313,7 @@
   CHECK(HourFrom(plan, gib, "2026-07-01T00:00:00Z") == 6'500);
 }
 
-TEST_CASE("each key of spending.json that the kept one leaves at its default carries its value") {
+TEST_CASE("each key of spending.json that the stored file omits sets its value") {
   json document = Read("spending.json");
   document["teams"][0]["quantile"] = 0.75;
   document["teams"][0]["members"].push_back({{"tenant", "shop one"}});
@@ -332,10 +332,10 @@
   CHECK(plan.ledger_timeout == 10'001 * kMillisecond);
 }
 
-TEST_CASE("a key of spending.json that is changed by one letter is refused") {
+TEST_CASE("a key of spending.json changed by one letter is rejected") {
   json document = Read("spending.json");
   document["teams"][0]["members"].push_back({{"tenant", "shop one"}});
-  CheckRenamedKeysRefused(
+  CheckRenamedKeysRejected(
       document, [](const json& changed) { spending::ParsePlan(changed, "spending.json", Payments()); });
 }
 
--- a/tests/compatibility_samples.h
+++ b/tests/compatibility_samples.h
@@ -1,5 +1,5 @@
-// Values of everything that the program stores, as the kept files under tests/data hold them. The files were
-// written from these by the program as it was then; the tests read them, and write them again.
+// The values in the stored files under tests/data. Earlier versions of the program wrote the files from these
+// values; the tests read them and write them again.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace cluster_manager::compatibility {
 
-// --- What two processes of one cluster manager share
+// --- Files shared by two processes of one cluster manager
 
 inline Handover SampleHandover() {
   Handover all;
@@ -34,12 +34,12 @@
   return all;
 }
 
-// Two agents that are out by hand, and a third that was called back.
-inline std::string SampleRotation() {
-  NodeSuspensions rotation([](std::string_view id) { return static_cast<NodeId>(id.back()); });
-  for (const char* id : {"s-00000002", "s-00000001", "s-00000003"}) rotation.Suspend(id);
-  rotation.Resume("s-00000003", 5);
-  return rotation.PendingChange()(std::nullopt);
+// Two nodes suspended by an operator and a third that was resumed.
+inline std::string SampleSuspensions() {
+  NodeSuspensions suspensions([](std::string_view id) { return static_cast<NodeId>(id.back()); });
+  for (const char* id : {"s-00000002", "s-00000001", "s-00000003"}) suspensions.Suspend(id);
+  suspensions.Resume("s-00000003", 5);
+  return suspensions.PendingChange()(std::nullopt);
 }
 
 // --- The store
@@ -55,7 +55,7 @@
   return batch;
 }
 
-// --- The agreement of the members
+// --- Consensus between the members
 
 inline std::vector<consensus::Member> SampleMembers() {
   return {{0, 0xffeeddccbbaa9988, true}, {3, 77, false}, {65535, 1, true}};
@@ -100,7 +100,7 @@
   return file;
 }
 
-// A command with a value of its own in each field.
+// A command with a different value in each field.
 inline budgets::Command SampleCommand() {
   budgets::Command command;
   command.kind = budgets::Command::Kind::kReport;
@@ -117,7 +117,8 @@
   return command;
 }
 
-// After reports, draws, a grant, a new life of a member, an expiry, and with a change of a whole under way.
+// A ledger after reports, draws, a grant, a restart of a member and an expiry, with a pending change of a
+// limit.
 inline budgets::Ledger SampleLedger() {
   using budgets::Command;
   budgets::Ledger ledger(SampleBudgets());
@@ -146,34 +147,34 @@
   return ledger;
 }
 
-inline budgets::MemberShare SamplePart() {
-  budgets::MemberShare part(SampleBudgets(), {1, 3, true, {}}, kBudgetStart);
-  part.OnLedgerUpdate(SampleLedger().UpdateFor(1), kBudgetStart + 2 * kBudgetSecond);
-  return part;
+inline budgets::MemberShare SampleShare() {
+  budgets::MemberShare share(SampleBudgets(), {1, 3, true, {}}, kBudgetStart);
+  share.OnLedgerUpdate(SampleLedger().UpdateFor(1), kBudgetStart + 2 * kBudgetSecond);
+  return share;
 }
 
-// --- The books of a member
+// --- The spending account of a member
 
-// Workers of each state but replaced: over, handed away, lost, moved, asked for and waiting; money given
-// back.
-inline nlohmann::json SampleBooks() {
+// Tasks of each state except replaced (completed, handed over, lost, migrated, requested and waiting) and
+// returned money.
+inline nlohmann::json SampleSpending() {
   using spending::kSecond;
-  spending::SingleMember alone;
-  alone.Evaluate();
-  alone.AdmitAndStart(spending::NewTask(1, 0, 2), 600);
-  alone.AdmitAndStart(spending::NewTask(2, 1, 3), 7200);
-  alone.AdmitAndStart(spending::NewTask(3, 0, 1), 7200);
-  alone.AdmitAndStart(spending::NewTask(4, 1, 1), 7200);
-  alone.Evaluate(600 * kSecond);
-  alone.controller.OnTaskEnded(1, alone.now - 5 * kSecond, alone.now);
-  alone.controller.OnTaskLost(3, alone.now, alone.now);
-  alone.controller.OnTaskChanged(4, 0, {2000, 0}, 1, alone.now);
-  alone.estimator.run_seconds[5] = 3600;
-  alone.Admit(spending::NewTask(5, 0, 1));
-  alone.controller.Admit(spending::NewTask(6, 0, 40), alone.now);
-  alone.controller.OnTaskHandedOver(2, alone.now, alone.now);
-  alone.controller.Evaluate(alone.now + kSecond);
-  return alone.controller.Snapshot();
+  spending::SingleMember member;
+  member.Evaluate();
+  member.AdmitAndStart(spending::NewTask(1, 0, 2), 600);
+  member.AdmitAndStart(spending::NewTask(2, 1, 3), 7200);
+  member.AdmitAndStart(spending::NewTask(3, 0, 1), 7200);
+  member.AdmitAndStart(spending::NewTask(4, 1, 1), 7200);
+  member.Evaluate(600 * kSecond);
+  member.controller.OnTaskEnded(1, member.now - 5 * kSecond, member.now);
+  member.controller.OnTaskLost(3, member.now, member.now);
+  member.controller.OnTaskChanged(4, 0, {2000, 0}, 1, member.now);
+  member.estimator.run_seconds[5] = 3600;
+  member.Admit(spending::NewTask(5, 0, 1));
+  member.controller.Admit(spending::NewTask(6, 0, 40), member.now);
+  member.controller.OnTaskHandedOver(2, member.now, member.now);
+  member.controller.Evaluate(member.now + kSecond);
+  return member.controller.Snapshot();
 }
 
 }  // namespace cluster_manager::compatibility
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -1,5 +1,5 @@
-// What earlier versions have stored: the files under tests/data, written by the program as it was then. Each
-// is read with every value in it, and written again with the same bytes.
+// Data stored by earlier versions: each file under tests/data is read with all its values and written again
+// with the same bytes.
 #include <doctest/doctest.h>
 #include <sqlite3.h>
 
@@ -27,16 +27,17 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-std::string Kept(const std::string& name) { return BytesOf(DataFile(name)); }
+std::string StoredBytes(const std::string& name) { return BytesOf(DataFile(name)); }
 
-std::vector<std::uint8_t> KeptOctets(const std::string& name) {
-  const std::string bytes = Kept(name);
+std::vector<std::uint8_t> StoredOctets(const std::string& name) {
+  const std::string bytes = StoredBytes(name);
   return {bytes.begin(), bytes.end()};
 }
 
 std::string Line(const json& document) { return document.dump() + "\n"; }
 
-class Folder {  // of files that may be changed, removed in the end
+// A temporary folder, removed with all its files on destruction.
+class Folder {
  public:
   Folder() {
     path_ = (std::filesystem::temp_directory_path() / "willowrail-kept-XXXXXX").string();
@@ -56,13 +57,13 @@
   std::string path_;
 };
 
-// --- Files that two processes share
+// --- Files shared by two processes
 
-TEST_CASE("a kept file of agents that are out is read, and its agents are out") {
+TEST_CASE("a stored file of suspended nodes is read and its nodes are suspended") {
   const std::optional<std::string> text = SharedFile(DataFile("willowrail.n0.rotation")).ReadIfChanged();
   REQUIRE(text.has_value());
   CHECK(*text == "s-00000001\ns-00000002\n");
-  CHECK(*text == SampleRotation());
+  CHECK(*text == SampleSuspensions());
   NodeSuspensions rotation([](std::string_view id) { return static_cast<NodeId>(id.back()); });
   CHECK(rotation.ApplyText(*text, 0, 5) == std::vector<NodeId>{'1', '2'});
   CHECK(rotation.IsSuspended("s-00000001"));
@@ -70,7 +71,7 @@
   CHECK(rotation.size() == 2);
 }
 
-TEST_CASE("a kept handover is read with each value, and written again with the same bytes") {
+TEST_CASE("a stored handover is read with each value and written again with the same bytes") {
   const std::optional<std::string> text = SharedFile(DataFile("willowrail.n0.handover")).ReadIfChanged();
   REQUIRE(text.has_value());
   CHECK(*text == FormatHandover(SampleHandover()));
@@ -96,20 +97,21 @@
   CHECK(all.ends[1].over == TaskEnd::kAborted);
 }
 
-// The kept file's time is ahead of any clock, so the next one is known: one nanosecond later.
-TEST_CASE("a kept shared file that is replaced by its own text has the same bytes as the kept replacement") {
+// The time in the stored file is in the future, so the time of its replacement is known: one nanosecond
+// later.
+TEST_CASE("a stored shared file replaced by its own text has the bytes of the stored replacement") {
   const Folder folder;
   const std::string path = folder.Copy("willowrail.n0.handover");
   REQUIRE(SharedFile(path).Replace([](const auto& now) { return now.value_or("nothing was read"); }));
-  CHECK(BytesOf(path) == Kept("handover_replaced.txt"));
-  CHECK(BytesOf(path) != Kept("willowrail.n0.handover"));
+  CHECK(BytesOf(path) == StoredBytes("handover_replaced.txt"));
+  CHECK(BytesOf(path) != StoredBytes("willowrail.n0.handover"));
 }
 
-TEST_CASE("a kept shared file with any byte changed holds no text") {
+TEST_CASE("a stored shared file with any byte changed is rejected") {
   const Folder folder;
-  const std::string whole = Kept("willowrail.n0.rotation"), path = folder.Path("changed");
-  for (std::size_t i = 0; i < whole.size(); ++i) {
-    std::string changed = whole;
+  const std::string original = StoredBytes("willowrail.n0.rotation"), path = folder.Path("changed");
+  for (std::size_t i = 0; i < original.size(); ++i) {
+    std::string changed = original;
     changed[i] ^= 1;
     std::ofstream(path, std::ios::binary) << changed;
     CAPTURE(i);
@@ -119,7 +121,7 @@
 
 // --- The store
 
-TEST_CASE("a kept store is opened with each value in it") {
+TEST_CASE("a stored database is opened with each value in it") {
   const Folder folder;
   std::string fault;
   const auto kept = store::Store::Open(folder.Copy("store.sqlite"), {}, &fault);
@@ -140,7 +142,8 @@
   return 0;
 }
 
-// The marks, tables and rows of a store's file, checksums included, without what SQLite itself adds.
+// The identification, tables and rows of a store's file, including checksums, without the data that SQLite
+// adds.
 std::vector<std::string> RowsOf(const std::string& path) {
   sqlite3* db = nullptr;
   REQUIRE(sqlite3_open(path.c_str(), &db) == SQLITE_OK);
@@ -157,7 +160,7 @@
   return rows;
 }
 
-TEST_CASE("a store that is written again has the marks, tables and rows of the kept one") {
+TEST_CASE("a store written again has the identification and tables and rows of the stored one") {
   const Folder folder;
   const std::string path = folder.Path("fresh");
   std::string fault;
@@ -173,21 +176,21 @@
   CHECK(RowsOf(path) == rows);
 }
 
-// --- The agreement of the members
+// --- Consensus between the members
 
-TEST_CASE("kept bytes of a message between members are read as that message, and written again the same") {
-  const consensus::Bytes bytes = KeptOctets("agreement_message.cbor");
+TEST_CASE("stored bytes of a consensus message are read as that message and written again unchanged") {
+  const consensus::Bytes bytes = StoredOctets("agreement_message.cbor");
   CHECK(consensus::Decode(bytes, {}) == SampleMessage());
   CHECK(consensus::Encode(SampleMessage()) == bytes);
 }
 
-TEST_CASE("kept bytes of the members, as the store has them, are read and written again the same") {
-  const consensus::Bytes bytes = KeptOctets("agreement_members.cbor");
+TEST_CASE("stored bytes of the member list are read and written again unchanged") {
+  const consensus::Bytes bytes = StoredOctets("agreement_members.cbor");
   CHECK(consensus::DecodeMembers(bytes, 128) == SampleMembers());
   CHECK(consensus::EncodeMembers(SampleMembers()) == bytes);
 }
 
-TEST_CASE("the kinds of entries and messages between members have their numbers") {
+TEST_CASE("the kinds of log entries and consensus messages keep their numbers") {
   using consensus::EntryKind;
   using consensus::MessageKind;
   CHECK(static_cast<int>(EntryKind::kNothing) == 0);
@@ -202,15 +205,15 @@
 
 // --- The ledger of shared budgets
 
-TEST_CASE("a kept snapshot of the ledger is read, and written again with the same bytes") {
-  const std::string kept = Kept("ledger_snapshot.json");
+TEST_CASE("a stored snapshot of the ledger is read and written again with the same bytes") {
+  const std::string kept = StoredBytes("ledger_snapshot.json");
   const budgets::Ledger ledger(json::parse(kept));
   CHECK(Line(ledger.Snapshot()) == kept);
   CHECK(Line(SampleLedger().Snapshot()) == kept);
 }
 
-TEST_CASE("a kept snapshot of the ledger says the same of each budget and to each member") {
-  const budgets::Ledger kept(json::parse(Kept("ledger_snapshot.json"))), sample = SampleLedger();
+TEST_CASE("a stored snapshot of the ledger gives the same budgets and member updates") {
+  const budgets::Ledger kept(json::parse(StoredBytes("ledger_snapshot.json"))), sample = SampleLedger();
   CHECK(kept.time() == sample.time());
   CHECK(kept.change_pending());
   CHECK(kept.counters().commands == 7);
@@ -236,8 +239,8 @@
   }
 }
 
-TEST_CASE("a kept command to the ledger is read with each value, and written again with the same bytes") {
-  const std::string kept = Kept("ledger_command.json");
+TEST_CASE("a stored command to the ledger is read with each value and written again with the same bytes") {
+  const std::string kept = StoredBytes("ledger_command.json");
   const budgets::Command command = budgets::CommandFromJson(json::parse(kept));
   CHECK(Line(budgets::ToJson(command)) == kept);
   CHECK(Line(budgets::ToJson(SampleCommand())) == kept);
@@ -250,7 +253,7 @@
   CHECK(command.key.rule == 1);
 }
 
-TEST_CASE("the kinds of commands to the ledger have their numbers") {
+TEST_CASE("the kinds of ledger commands keep their numbers") {
   using Kind = budgets::Command::Kind;
   const std::vector<Kind> in_order = {
       Kind::kReport,       Kind::kRenew,      Kind::kReturnLeases, Kind::kDraw,   Kind::kSpend,
@@ -259,21 +262,21 @@
   for (std::size_t i = 0; i < in_order.size(); ++i) CHECK(static_cast<std::size_t>(in_order[i]) == i);
 }
 
-TEST_CASE("what a member has kept of its floors is taken up, and saved again with the same bytes") {
-  const std::string kept = Kept("budget_part.json");
-  CHECK(Line(SamplePart().SaveState()) == kept);
+TEST_CASE("the stored guaranteed shares of a member are restored and saved again with the same bytes") {
+  const std::string kept = StoredBytes("budget_part.json");
+  CHECK(Line(SampleShare().SaveState()) == kept);
   const budgets::MemberShare part(SampleBudgets(), {1, 4, true, json::parse(kept)}, kBudgetStart);
   CHECK(part.version() == 2);
   json later = json::parse(kept);
-  later["incarnation"] = 4;  // of the start that takes it up
+  later["incarnation"] = 4;  // of the process that restores the data
   CHECK(part.SaveState() == later);
 }
 
-// --- The books of a member
+// --- The spending account of a member
 
-TEST_CASE("kept books of spending are taken up, and written again with the same bytes") {
-  const std::string kept = Kept("spending_books.json");
-  CHECK(Line(SampleBooks()) == kept);
+TEST_CASE("a stored spending account is restored and written again with the same bytes") {
+  const std::string kept = StoredBytes("spending_books.json");
+  CHECK(Line(SampleSpending()) == kept);
   const spending::Deployment deployment = spending::TestDeployment(1);
   spending::SpendingController books(spending::ParsePlan(spending::TestPlan(), "f", deployment), deployment,
                                      nullptr);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -1,5 +1,4 @@
-// Scenarios of faults: those that are kept are right, a seed draws the same plan each time, and mistakes are
-// told with their place.
+// Fault scenarios: the stored ones are valid, a seed always gives the same plan, and errors name their place.
 #include "faults/scenario.h"
 
 #include <doctest/doctest.h>
@@ -45,7 +44,7 @@
   return "";
 }
 
-TEST_CASE("every scenario that is kept is right, named as its file, and can be planned") {
+TEST_CASE("every stored scenario is valid and named like its file and can be planned") {
   int count = 0;
   for (const auto& entry : std::filesystem::directory_iterator(WILLOWRAIL_FAULTS "/scenarios")) {
     const json scenario = File(entry.path().string());
@@ -57,12 +56,12 @@
   CHECK(count >= 15);
 }
 
-TEST_CASE("a seed draws the same plan each time, another seed another") {
+TEST_CASE("a seed always gives the same plan and another seed a different one") {
   CHECK(Plan(Small(), 3) == Plan(Small(), 3));
   CHECK(Plan(Small(), 3)["faults"] != Plan(Small(), 4)["faults"]);
 }
 
-TEST_CASE("a plan names every target, repeats what comes again, and is in the order of its moments") {
+TEST_CASE("a plan lists all targets and repetitions in order of time") {
   const json plan = Plan(Small(), 3);
   REQUIRE(plan["faults"].size() == 5);
   double last = 0;
@@ -87,7 +86,7 @@
   CHECK(cuts == 1);
 }
 
-TEST_CASE("one more fault moves none of the others") {
+TEST_CASE("an additional fault does not change the others") {
   json more = Small();
   more["faults"].push_back({{"at_ms", 9000}, {"do", "kill"}, {"on", {{"pick", 1}, {"of", "m*"}}}});
   const json before = Plan(Small(), 3)["faults"], after = Plan(more, 3)["faults"];
@@ -95,7 +94,7 @@
   for (std::size_t i = 0; i < before.size(); ++i) CHECK(after[i] == before[i]);
 }
 
-TEST_CASE("mistakes are told with their place") {
+TEST_CASE("errors name their place") {
   const auto with = [](const std::function<void(json*)>& change) {
     json scenario = Small();
     change(&scenario);
--- a/tests/settings_story_test.cpp
+++ b/tests/settings_story_test.cpp
@@ -1,10 +1,10 @@
-// Stories of new settings: the real program reads its configuration again while requests are under way.
+// Reloads of the configuration by the real program while requests are being processed.
 #include "story_operated.h"
 
 namespace cluster_manager::story {
 namespace {
 
-// The file as it was, but for its classes.
+// The configuration with other classes.
 json With(const Program& program, const json& services) {
   json config = program.config();
   config["settings"]["Services"] = services;
@@ -17,112 +17,112 @@
   return service;
 }
 
-TEST_CASE_FIXTURE(Operated,
-                  "new settings: an open request keeps its class where that is dropped or changed") {
+TEST_CASE_FIXTURE(Operated, "reload: a pending request keeps its class if the class is removed or changed") {
   Program& program = Start(false);
   const int port = program.admin_port();
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   SUBCASE("dropped") {
     program.Configure(With(program, {Service("safe", "pure"), Service("batch", "pure")}).dump());
     program.Signal(SIGHUP);
     program.Logged("classes: 1 new, 0 changed, 2 dropped");
-    Ask(&owner, kOther, "unsafe");  // nobody knows it any more
-    CHECK(owner.Hear(Type::kRelease, kOther).cause == 47);
+    Ask(&client, kOther, "unsafe");  // the class is unknown now
+    CHECK(client.Hear(Type::kRelease, kOther).cause == 47);
   }
   SUBCASE("changed") {
     program.Configure(With(program, {Service("safe", "pure"), Service("unsafe", "pure")}).dump());
     program.Signal(SIGHUP);
     program.Logged("classes: 0 new, 1 changed, 1 dropped");
   }
-  // It may have run: an unsafe task is not tried elsewhere, whatever its class is for others by now.
-  agent.Say(Type::kRelease, kTask, Cause::kReset);
-  CHECK(owner.Hear(Type::kRelease, kTask).cause == 41);
+  // The task may have run: an unsafe request is not retried, whatever the class allows for new requests.
+  node.Say(Type::kRelease, kTask, Cause::kReset);
+  CHECK(client.Hear(Type::kRelease, kTask).cause == 41);
   CHECK_FALSE(second.Dialled());
   CHECK(FiguresOf(port)["faulted"]["unsafe"] == 1);
   CHECK(FiguresOf(port)["cfg_accepted"] == 1);
 }
 
 TEST_CASE_FIXTURE(Operated,
-                  "new settings: the end of a task whose class was dropped is told, handed over or not") {
+                  "reload: completions of tasks of a removed class are reported with or without a handover") {
   Program& program = Start(false);
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "here");
+  client.Hear(Type::kAnswer, kTask);
   program.Configure(With(program, {Service("safe", "pure"), Service("batch", "pure")}).dump());
   program.Signal(SIGHUP);
   program.Logged("classes: 1 new, 0 changed, 2 dropped");
-  Ask(&owner, kTask, "unsafe", 25'000, ";at:s-00000001");   // held here already
-  Ask(&owner, kOther, "unsafe", 25'000, ";at:s-00000001");  // of the class as it stood
-  Ask(&owner, 7, "never", 25'000, ";at:s-00000001");        // of one that was never known here
-  Ask(&owner, 8, "never");                                  // nobody places a task of it
-  CHECK(owner.Hear(Type::kRelease, 8).cause == 47);
+  Ask(&client, kTask, "unsafe", 25'000, ";at:s-00000001");   // running task of this process
+  Ask(&client, kOther, "unsafe", 25'000, ";at:s-00000001");  // claim of a task of the removed class
+  Ask(&client, 7, "never", 25'000, ";at:s-00000001");        // claim of a task of an unknown class
+  Ask(&client, 8, "never");                                  // new requests of an unknown class are rejected
+  CHECK(client.Hear(Type::kRelease, 8).cause == 47);
   CHECK(FiguresOf(program.admin_port())["open_requests"] == 3);
   for (const TaskId task : {kTask, kOther, TaskId{7}}) {
-    agent.Say(Type::kRelease, task, Cause::kEnded);
-    CHECK(owner.Hear(Type::kRelease, task).cause == 16);
+    node.Say(Type::kRelease, task, Cause::kEnded);
+    CHECK(client.Hear(Type::kRelease, task).cause == 16);
   }
 }
 
-TEST_CASE_FIXTURE(Operated, "new settings: a class that is added is served, and its ends are counted") {
+TEST_CASE_FIXTURE(Operated, "reload: requests of an added class are served and counted") {
   Program& program = Start(false);
   program.Configure(With(program, {Service("safe", "pure"), Service("batch", "side_effect")}).dump());
   program.Signal(SIGHUP);
   program.Logged("classes: 1 new, 0 changed, 2 dropped");
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "batch");
-  Wire agent = first.Accept();
-  CHECK(agent.Hear(Type::kSetUp, kTask).class_name == "batch");
-  agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "batch");
+  Wire node = first.Accept();
+  CHECK(node.Hear(Type::kSetUp, kTask).class_name == "batch");
+  node.Answer(kTask, "here");
+  client.Hear(Type::kAnswer, kTask);
   CHECK(FiguresOf(program.admin_port())["fulfilled"]["batch"] == 1);
 }
 
-TEST_CASE_FIXTURE(Operated, "a bad file is turned down whole: neither its classes nor its bulletin count") {
+TEST_CASE_FIXTURE(
+    Operated, "reload: an invalid file is rejected as a whole with its classes and its discovery address") {
   Program& program = Start(false);
   json config = With(program, {Service("safe", "pure"), Service("batch", "pure")});
   config["bulletin"] = "127.0.0.1:9";
-  std::string text, said;
-  SUBCASE("empty") { said = "configuration not read again: "; }
+  std::string text, message;
+  SUBCASE("empty") { message = "configuration not read again: "; }
   SUBCASE("cut short") {
     text = config.dump().substr(0, 200);
-    said = "configuration not read again: ";
+    message = "configuration not read again: ";
   }
   SUBCASE("a deadline below 0") {
     config["settings"]["Services"][1]["Deadline"] = -5;
     text = config.dump();
-    said = "settings.Services[1].Deadline: -5";
+    message = "settings.Services[1].Deadline: -5";
   }
   SUBCASE("no number of attempts") {
     config["settings"]["Allowed"]["MostTries"] = "three";
     text = config.dump();
-    said = "settings.Allowed.MostTries: ";
+    message = "settings.Allowed.MostTries: ";
   }
   SUBCASE("no settings") {
     config.erase("settings");
     text = config.dump();
-    said = "settings: missing";
+    message = "settings: missing";
   }
   SUBCASE("settings that the module cannot work with") {
     config["settings"]["FamilyInfo"]["CoresByKind"] = {0};
     text = config.dump();
-    said = "configuration not read again: ";
+    message = "configuration not read again: ";
   }
   program.Configure(text);
   program.Signal(SIGHUP);
-  program.Logged(said);
-  const json figures = FiguresOf(program.admin_port());
-  CHECK(figures["cfg_invalid"] == 1);
-  CHECK(figures["cfg_accepted"] == 0);
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "batch");
-  CHECK(owner.Hear(Type::kRelease, kTask).cause == 47);
-  // The list is still read where it was.
+  program.Logged(message);
+  const json metrics = FiguresOf(program.admin_port());
+  CHECK(metrics["cfg_invalid"] == 1);
+  CHECK(metrics["cfg_accepted"] == 0);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "batch");
+  CHECK(client.Hear(Type::kRelease, kTask).cause == 47);
+  // The endpoint list is still read from the previous discovery address.
   lists.back().Raw("data: " + Event(2, Nodes(), true).dump() + "\n\n");
   program.Counted("discovery_events", 1);
 }
