--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -25,7 +25,7 @@
 enum Exit { kSuccess = 0, kErrors = 1, kUsage = 2 };
 
 // Reads the files of a configuration from disk.
-class DiskFiles final : public config_language::Files {
+class DiskFiles final : public config_language::FileSystem {
  public:
   std::optional<std::string> Read(const std::string& path) override {
     std::error_code error;
@@ -88,7 +88,7 @@
                       config_language::Evaluator* evaluator, std::size_t* settings) {
   for (const config_language::Statement& s : statements) {
     if (s.form == config_language::Statement::Form::kSetting) {
-      evaluator->Of(s.value);
+      evaluator->Evaluate(s.value);
       ++*settings;
     }
     EvaluateSettings(s.body, evaluator, settings);
@@ -103,7 +103,7 @@
   std::size_t settings = 0;
   EvaluateSettings(program.settings, &evaluator, &settings);
   EvaluateSettings(program.blocks, &evaluator, &settings);
-  for (const auto& [name, constant] : program.constants) evaluator.Of(constant.value);
+  for (const auto& [name, constant] : program.constants) evaluator.Evaluate(constant.value);
   if (PrintDiagnostics(diagnostics, program.sources)) return kErrors;
   std::printf("%s: valid; %zu files, %zu blocks, %zu settings, %zu constants\n", path.c_str(),
               program.sources.size(), program.blocks.size(), settings, program.constants.size());
@@ -171,7 +171,7 @@
     }
     return kSuccess;
   }
-  const config_language::Explanation* e = config_language::Explain(code);
+  const config_language::Explanation* e = config_language::FindExplanation(code);
   if (e == nullptr) {
     std::fprintf(stderr, "unknown error code %s; `cluster_manager explain` lists the codes\n", code.c_str());
     return kUsage;
--- a/src/cli/sites_command.cpp
+++ b/src/cli/sites_command.cpp
@@ -81,7 +81,7 @@
   } catch (const std::exception& error) {
     throw UsageError(path + ": " + error.what());
   }
-  loaded.deployment = zone_failover::DeploymentOf(loaded.config.settings, loaded.config.zones);
+  loaded.deployment = zone_failover::DeploymentFromSettings(loaded.config.settings, loaded.config.zones);
   loaded.known = loaded.config.known_list;
   return loaded;
 }
@@ -105,7 +105,7 @@
   return Run([&] {
     const LoadedConfig loaded = ReadConfigFile(arguments.config);
     const zone_failover::Plan plan = zone_failover::LoadPlan(arguments.plan, loaded.deployment);
-    std::printf("%s: valid; %d ranks, %zu sites\n", arguments.plan.c_str(), plan.ranks(),
+    std::printf("%s: valid; %d ranks, %zu sites\n", arguments.plan.c_str(), plan.rank_count(),
                 loaded.deployment.sites.size());
     return 0;
   });
@@ -121,8 +121,8 @@
     for (const auto& [uid, target] :
          LatestTargets(arguments.list.empty() ? loaded.known : ReadJson(arguments.list), source)) {
       zone_failover::DrillNode node;
-      node.site = IndexOf(loaded.deployment.sites, target.value("az", ""));
-      if (node.site < 0) {
+      node.zone = IndexOf(loaded.deployment.sites, target.value("az", ""));
+      if (node.zone < 0) {
         std::string text = source;
         text.append(": ").append(uid).append(" is in ").append(target["az"].dump());
         text.append(", which is not in the settings; the sites are: ")
@@ -164,9 +164,9 @@
     const zone_failover::Drill drill =
         zone_failover::RunDrill(plan, loaded.deployment, nodes, lost_sites, parameters);
     const std::string text =
-        arguments.json ? zone_failover::AsJson(drill).dump(2) + "\n" : zone_failover::AsTable(drill);
+        arguments.json ? zone_failover::ToJson(drill).dump(2) + "\n" : zone_failover::FormatTable(drill);
     std::fputs(text.c_str(), stdout);
-    return drill.broken.empty() ? 0 : 1;
+    return drill.violations.empty() ? 0 : 1;
   });
 }
 
--- a/src/nodes/node_connection_pool.cpp
+++ b/src/nodes/node_connection_pool.cpp
@@ -54,9 +54,9 @@
   }
   // A removed node is not dialed any more: another node may be listening at its address.
   record.removed = node.entry.state == NodeState::kRemoved;
-  const bool was_leaving = record.failure_detector.leaving();
+  const bool was_leaving = record.failure_detector.is_leaving();
   record.failure_detector.SetListedState(ListedStateOf(node.entry.state), loop_->Now());
-  if (record.failure_detector.leaving() && !was_leaving) leaving_nodes_.push_back(id);
+  if (record.failure_detector.is_leaving() && !was_leaving) leaving_nodes_.push_back(id);
   if (record.removed) record.orphaned_tasks.clear();
   RecordAddress(id, before);
   EnsureConnection(id, &record);
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -33,7 +33,7 @@
 ServerProcess::ServerProcess(Files files, Config config)
     : files_(std::move(files)),
       config_(std::move(config)),
-      deployment_(zone_failover::DeploymentOf(config_.settings, config_.zones)),
+      deployment_(zone_failover::DeploymentFromSettings(config_.settings, config_.zones)),
       dispatcher_(&loop_, config_.settings, SeedHashes(config_.seed)),
       node_pool_(&loop_, {config_.dial_timeout, config_.keepalive},
                  SocketsWithoutAdmin(config_.max_descriptors), config_.seed, &dispatcher_),
@@ -42,7 +42,7 @@
   dispatcher_.Connect(&frontend_, &node_pool_, &endpoint_list_);
   LoadZoneFailoverPlan();
   frontend_.SetDescriptorLimit(SocketsWithoutAdmin(config_.max_descriptors));
-  node_pool_.SetClientDescriptors([this] { return frontend_.size(); });
+  node_pool_.SetClientDescriptors([this] { return frontend_.connection_count(); });
   if (config_.admin) dispatcher_.SetSuspensions(&suspensions_);
   OpenSharedFiles();
   endpoint_list_.PublishKnownList(config_.known_list);
@@ -103,11 +103,11 @@
     case Phase::kServing:
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kOpen);
       // The accept queue of an inherited socket is served by another process until now.
-      frontend_.Resume();
+      frontend_.ResumeAccepting();
       break;
     case Phase::kDraining:
       Log("drained by an operator: %zu requests to settle, %zu tasks stand",
-          dispatcher_.unanswered_requests(), dispatcher_.RunningTasks());
+          dispatcher_.unanswered_request_count(), dispatcher_.RunningTaskCount());
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kDraining);
       break;
     case Phase::kAcceptingFinalConnections:
@@ -164,7 +164,7 @@
     Log("configuration read again, bulletin at %s, classes: %d new, %d changed, %d dropped",
         AddressText(fresh.discovery).c_str(), change.added, change.changed, change.dropped);
     // The failover plan names classes by their positions, which may have changed.
-    deployment_ = zone_failover::DeploymentOf(dispatcher_.classes().settings(), config_.zones);
+    deployment_ = zone_failover::DeploymentFromSettings(dispatcher_.classes().settings(), config_.zones);
   } catch (const std::exception& error) {
     ++counters.reloads_refused;
     Log("configuration not read again: %s", error.what());
@@ -174,7 +174,7 @@
 // All or nothing, like the configuration.
 void ServerProcess::ReloadZoneFailoverPlan() {
   try {
-    zone_failover_->Take(zone_failover::LoadPlan(files_.sites, deployment_));
+    zone_failover_->ApplyPlan(zone_failover::LoadPlan(files_.sites, deployment_));
     Log("sites: the plan of %s is followed from now on", files_.sites.c_str());
   } catch (const std::exception& error) {
     Log("sites: the plan was not read again, the one before goes on:\n%s", error.what());
@@ -187,21 +187,21 @@
   std::fprintf(stderr, "counter bytes_written %llu\n",
                static_cast<unsigned long long>(protocol::bytes_written));
   if (counting_build != nullptr) counting_build(stderr);
-  const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_requests()},
-                                                       {"standing", dispatcher_.RunningTasks()},
-                                                       {"owners", frontend_.size()},
+  const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_request_count()},
+                                                       {"standing", dispatcher_.RunningTaskCount()},
+                                                       {"owners", frontend_.connection_count()},
                                                        {"owed_ends", frontend_.queued_completions()},
-                                                       {"listed", dispatcher_.listed_nodes()},
-                                                       {"module", dispatcher_.scheduler_entries()},
+                                                       {"listed", dispatcher_.listed_node_count()},
+                                                       {"module", dispatcher_.scheduler_entry_count()},
                                                        {"roster", endpoint_list_.size()},
-                                                       {"agents", node_pool_.size()},
+                                                       {"agents", node_pool_.node_count()},
                                                        {"agent_lines", node_pool_.connection_count()},
                                                        {"agent_open", node_pool_.unanswered_attempt_count()},
                                                        {"blocks", SharedBlockPool().live()},
                                                        {"deadlines", loop_.deadlines()}};
   for (const auto& [name, size] : sizes) std::fprintf(stderr, "size %s %zu\n", name, size);
   if (zone_failover_) {
-    for (const std::string& line : zone_failover_->Describe(loop_.Now()))
+    for (const std::string& line : zone_failover_->StatusLines(loop_.Now()))
       std::fprintf(stderr, "%s\n", line.c_str());
   }
   std::fflush(stderr);
--- a/src/server/server_process_handover.cpp
+++ b/src/server/server_process_handover.cpp
@@ -43,10 +43,10 @@
   PublishHandover(false);
   const Time now = loop_.Now();
   if (now >= handover_by_ - kCloseMargin) frontend_.CloseAllGracefully();
-  const bool complete = dispatcher_.unanswered_requests() == 0 && frontend_.size() == 0;
+  const bool complete = dispatcher_.unanswered_request_count() == 0 && frontend_.connection_count() == 0;
   if (complete || now >= handover_by_ - kHandoverMargin) {
     PublishHandover(true);
-    Log("handed over: %zu tasks", dispatcher_.RunningTasks());
+    Log("handed over: %zu tasks", dispatcher_.RunningTaskCount());
     Advance(LifecycleEvent::kRequestsAnswered);
   } else {
     loop_.After(kCheckInterval, [this] { CheckHandoverComplete(); });
@@ -67,7 +67,7 @@
   }
   for (const auto& [id, over] : frontend_.RemainingCompletions(with_tasks))
     handover.ends.push_back({id, HandedOverCompletion::kAnyNode, over});
-  for (const UnclaimedCompletions::Completion& each : dispatcher_.unclaimed_completions().all()) {
+  for (const UnclaimedCompletions::Completion& each : dispatcher_.unclaimed_completions().completions()) {
     const TaskEnd end = each.completed ? TaskEnd::kCompleted : TaskEnd::kAborted;
     handover.ends.push_back({each.task, each.node, end});
   }
--- a/src/server/server_process_operators.cpp
+++ b/src/server/server_process_operators.cpp
@@ -36,9 +36,9 @@
 std::string ServerProcess::Metrics() const {
   return dispatcher_.metrics().FormatJson(
       {.relayed = counters.attempts_sent,
-       .open_requests = dispatcher_.unanswered_requests() + dispatcher_.RunningTasks(),
+       .open_requests = dispatcher_.unanswered_request_count() + dispatcher_.RunningTaskCount(),
        .registry_entries = endpoint_list_.size(),
-       .out_of_rotation = dispatcher_.excluded_nodes(),
+       .out_of_rotation = dispatcher_.excluded_node_count(),
        .cfg_accepted = counters.reloads,
        .cfg_invalid = counters.reloads_refused});
 }
--- a/src/store/store_thread.h
+++ b/src/store/store_thread.h
@@ -7,7 +7,7 @@
 // results together.
 //
 // If the queue is full, TryAppend returns false, and the caller must not continue as if the batch were saved;
-// the consensus module then sends nothing, since it waits for Saved. After an error each further batch is
+// the consensus module then sends nothing, since it waits for OnSaved. After an error each further batch is
 // answered with the same error.
 #pragma once
 
--- a/src/zone_failover/sites.cpp
+++ b/src/zone_failover/sites.cpp
@@ -1,9 +1,9 @@
-#include "zone_failover/sites.h"
-
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
+#include "zone_failover/zone_failover.h"
+
 namespace cluster_manager::zone_failover {
 namespace {
 
--- a/tests/basic_components_test.cpp
+++ b/tests/basic_components_test.cpp
@@ -49,19 +49,20 @@
 TEST_CASE("a truncated message is not decoded at any length") {
   std::string bytes;
   protocol::Writer(&bytes, protocol::Type::kRelease, 0xabcdef0123456789)
-      .Add(protocol::Cause::kFull)
-      .Add(protocol::Code::kNote, "busy");
+      .Add(protocol::Cause::kNoCapacity)
+      .Add(protocol::Code::kDetail, "busy");
   protocol::Message m;
   std::size_t size = 0;
   for (std::size_t length = 0; length < bytes.size(); ++length) {
-    CHECK(protocol::Decode(std::string_view(bytes).substr(0, length), &m, &size) == protocol::Step::kMore);
+    CHECK(protocol::Decode(std::string_view(bytes).substr(0, length), &m, &size) ==
+          protocol::DecodeStatus::kIncomplete);
   }
-  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::Step::kMessage);
+  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::DecodeStatus::kMessage);
   CHECK(size == bytes.size());
   CHECK(m.task == 0xabcdef0123456789);
   CHECK(m.CauseOr(-1) == 34);
-  CHECK(m.Get(protocol::Code::kNote) == "busy");
-  CHECK_FALSE(m.Has(protocol::Code::kReport));
+  CHECK(m.Get(protocol::Code::kDetail) == "busy");
+  CHECK_FALSE(m.Has(protocol::Code::kLoadReport));
 }
 
 TEST_CASE("settings are flattened to the format of the simulator protocol") {
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -96,9 +96,9 @@
 
 TEST_CASE_FIXTURE(Workspace, "explain lists and explains codes and rejects an unknown code") {
   CHECK(Run("explain") == 0);
-  CHECK(out.find("L006  a unit that there is not\n") != std::string::npos);
+  CHECK(out.find("L006  unknown unit\n") != std::string::npos);
   CHECK(Run("explain R002") == 0);
-  CHECK(out.find("R002: files that include each other") == 0);
+  CHECK(out.find("R002: circular includes") == 0);
   CHECK(Run("explain X999") == 2);
   CHECK(ErrorContains("unknown error code X999"));
 }
--- a/tests/compatibility_samples.h
+++ b/tests/compatibility_samples.h
@@ -63,7 +63,7 @@
 
 inline consensus::Message SampleMessage() {
   consensus::Message message;
-  message.kind = consensus::MessageKind::kSnapshot;
+  message.kind = consensus::MessageKind::kInstallSnapshot;
   message.cluster = 0x99aabbccddeeff00;
   message.from_identity = 0x1122334455667788;
   message.to_identity = 77;
@@ -72,9 +72,9 @@
   message.term = 12;
   message.index = 43;
   message.log_term = 11;
-  message.commit = 42;
+  message.commit_index = 42;
   message.round = 300;
-  message.entries = {{11, consensus::EntryKind::kNothing, {}},
+  message.entries = {{11, consensus::EntryKind::kNoOp, {}},
                      {12, consensus::EntryKind::kCommand, {0, 255, 128}},
                      {12, consensus::EntryKind::kMembers, consensus::EncodeMembers(SampleMembers())}};
   message.members = SampleMembers();
--- a/tests/compatibility_shared_names_test.cpp
+++ b/tests/compatibility_shared_names_test.cpp
@@ -51,9 +51,9 @@
   Wire owner = Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   Program& fresh = Start();
   old.Signal(SIGTERM);
   CHECK(owner.Closed());
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -180,8 +180,8 @@
 
 TEST_CASE("stored bytes of a consensus message are read as that message and written again unchanged") {
   const consensus::Bytes bytes = StoredOctets("agreement_message.cbor");
-  CHECK(consensus::Decode(bytes, {}) == SampleMessage());
-  CHECK(consensus::Encode(SampleMessage()) == bytes);
+  CHECK(consensus::DecodeMessage(bytes, {}) == SampleMessage());
+  CHECK(consensus::EncodeMessage(SampleMessage()) == bytes);
 }
 
 TEST_CASE("stored bytes of the member list are read and written again unchanged") {
@@ -193,13 +193,14 @@
 TEST_CASE("the kinds of log entries and consensus messages keep their numbers") {
   using consensus::EntryKind;
   using consensus::MessageKind;
-  CHECK(static_cast<int>(EntryKind::kNothing) == 0);
+  CHECK(static_cast<int>(EntryKind::kNoOp) == 0);
   CHECK(static_cast<int>(EntryKind::kCommand) == 1);
   CHECK(static_cast<int>(EntryKind::kMembers) == 2);
   const std::vector<MessageKind> in_order = {
-      MessageKind::kAskFirst, MessageKind::kAskFirstYes, MessageKind::kAskFirstNo, MessageKind::kAsk,
-      MessageKind::kAskYes,   MessageKind::kAskNo,       MessageKind::kAppend,     MessageKind::kHave,
-      MessageKind::kMismatch, MessageKind::kSnapshot,    MessageKind::kHello,      MessageKind::kWhere};
+      MessageKind::kPreVote,         MessageKind::kPreVoteGranted, MessageKind::kPreVoteRejected,
+      MessageKind::kRequestVote,     MessageKind::kVoteGranted,    MessageKind::kVoteRejected,
+      MessageKind::kAppendEntries,   MessageKind::kAppendAccepted, MessageKind::kAppendRejected,
+      MessageKind::kInstallSnapshot, MessageKind::kJoinRequest,    MessageKind::kLeaderHint};
   for (std::size_t i = 0; i < in_order.size(); ++i) CHECK(static_cast<std::size_t>(in_order[i]) == i);
 }
 
--- a/tests/concurrent_failures_test.cpp
+++ b/tests/concurrent_failures_test.cpp
@@ -23,10 +23,10 @@
   first.Unclog();
   // The attempt waited for its connection, and no other node was tried meanwhile.
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   CHECK_FALSE(second.Dialled());
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   std::this_thread::sleep_for(std::chrono::milliseconds(5));
   node.Answer(kTask, "there again");
   program->Counted("node_replies_unmatched", 1);
@@ -38,7 +38,7 @@
   program->Counted("discovery_events", 1);
   Ask(&client, kOther, "unsafe");
   Wire second_node = second.Accept();
-  second_node.Hear(Type::kSetUp, kOther);
+  second_node.Hear(Type::kTaskRequest, kOther);
   node.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(client.Hear(Type::kRelease, kTask).cause == 16);
 }
--- a/tests/crossing_discovery.h
+++ b/tests/crossing_discovery.h
@@ -47,9 +47,9 @@
     Wire owner = program->Owner();
     Ask(&owner, task, "unsafe");
     Wire agent = to->Accept();
-    agent.Hear(Type::kSetUp, task);
+    agent.Hear(Type::kTaskRequest, task);
     agent.Answer(task, "there");
-    owner.Hear(Type::kAnswer, task);
+    owner.Hear(Type::kTaskAccepted, task);
   }
 };
 
--- a/tests/crossing_discovery_test.cpp
+++ b/tests/crossing_discovery_test.cpp
@@ -140,9 +140,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   json bad = First();
   SUBCASE("its state") { bad["state"] = "lost"; }
   SUBCASE("its name") { bad["uid"] = 1; }
--- a/tests/crossing_shutdown_test.cpp
+++ b/tests/crossing_shutdown_test.cpp
@@ -10,15 +10,15 @@
 
 std::string SetUpBytes(TaskId task) {
   std::string bytes;
-  protocol::Writer w(&bytes, Type::kSetUp, task);
-  w.Add(Code::kClass, "unsafe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-  w.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+  protocol::Writer w(&bytes, Type::kTaskRequest, task);
+  w.Add(Code::kClass, "unsafe").Add(Code::kTimeoutMs, "25000").Add(Code::kTenant, "shop one");
+  w.Add(Code::kName, "0b5e").Add(Code::kResources, "cores:1;memory:2;service:0b");
   w.Add(Code::kDescription, "run");
   return bytes;
 }
 std::string TestBytes(TaskId task) {
   std::string bytes;
-  protocol::Writer(&bytes, Type::kTest, task).Add(Cause::kTestFailed);
+  protocol::Writer(&bytes, Type::kHealthCheck, task).Add(Cause::kHealthCheckFailed);
   return bytes;
 }
 
@@ -29,9 +29,9 @@
   // The next agent's connection hears of the task, says that it stands, and the owner reads so.
   void Serve(Wire* owner, TaskId task) {
     Wire agent = first.Accept();
-    agent.Hear(Type::kSetUp, task);
+    agent.Hear(Type::kTaskRequest, task);
     agent.Answer(task, "there");
-    CHECK(owner->Hear(Type::kAnswer, task).description == "there");
+    CHECK(owner->Hear(Type::kTaskAccepted, task).description == "there");
   }
   void Terminate() {
     program->Signal(SIGTERM);
@@ -88,10 +88,10 @@
     owner.Raw(SetUpBytes(kTask));
   }
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   CHECK_FALSE(owner.Readable(400));  // not even closed: longer than any last words
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   Ends();
 }
 
@@ -113,7 +113,7 @@
   Wire owner = program->Owner();
   const std::string bytes = SetUpBytes(kTask);
   owner.Raw(TestBytes(1) + bytes.substr(0, bytes.size() / 2));
-  owner.Hear(Type::kTestResult, 1);  // so that the half behind it has been read
+  owner.Hear(Type::kHealthCheckResult, 1);  // so that the half behind it has been read
   Terminate();
   CHECK_FALSE(owner.Readable(kPastLastArrivals));
   owner.Raw(bytes.substr(bytes.size() / 2));
@@ -125,7 +125,7 @@
   Start();
   Wire owner = program->Owner();
   owner.Raw(TestBytes(1) + SetUpBytes(kTask).substr(0, 20));
-  owner.Hear(Type::kTestResult, 1);
+  owner.Hear(Type::kHealthCheckResult, 1);
   Terminate();
   SUBCASE("nothing more comes") {}
   SUBCASE("one byte more") { owner.Raw(SetUpBytes(kTask).substr(20, 1)); }
@@ -172,9 +172,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   owner.Close();
   program->Counted("client_closes", 1);
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
@@ -188,11 +188,11 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   Terminate();
   for (const int number : {SIGTERM, SIGINT, SIGTERM}) program->Signal(number);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   Ends();
 }
 
@@ -201,7 +201,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   program->Configure("{\"name\":");
   SUBCASE("after it") {
     Terminate();
@@ -215,15 +215,15 @@
     program->Signal(SIGCONT);
   }
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   Ends();
 }
 
 struct Drained : Operated {
   void Stands(Wire* agent, Wire* owner, TaskId task) {
-    agent->Hear(Type::kSetUp, task);
+    agent->Hear(Type::kTaskRequest, task);
     agent->Answer(task, "there");
-    CHECK(owner->Hear(Type::kAnswer, task).description == "there");
+    CHECK(owner->Hear(Type::kTaskAccepted, task).description == "there");
   }
 };
 
@@ -233,7 +233,7 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   program.Signal(SIGTERM);
   program.Logged("stopping: 1 requests");
@@ -243,7 +243,7 @@
   Wire another = first.Accept();
   Stands(&another, &late, kOther);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   program.Logged("size deadlines ");
   CHECK(program.ExitStatus() == 0);
 }
@@ -254,7 +254,7 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   program.Signal(SIGTERM);
   program.Logged("stopping: 1 requests");
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
@@ -262,7 +262,7 @@
   CHECK(Get(port, "/v1/readyz").status == 503);
   owner.NothingElse();  // and it is open
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   program.Logged("size deadlines ");
   CHECK(program.ExitStatus() == 0);
 }
@@ -272,7 +272,7 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   json config = program.config();
   config["settings"]["Services"].erase(2);
   program.Configure(config.dump());
@@ -280,7 +280,7 @@
   program.Logged("1 dropped");
   CHECK(Post(program.admin_port(), "/v1/cluster-manager/drain").yes());
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
   CHECK(owner.Closed());
--- a/tests/crossing_startup_test.cpp
+++ b/tests/crossing_startup_test.cpp
@@ -103,9 +103,9 @@
   Wire owner = Wire::To(std::stoi(port));  // who comes is still served
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   CHECK(start.ExitStatus() == 0);
 }
 
@@ -164,10 +164,10 @@
                   "with discovery down a process that takes over a socket serves what waits there") {
   bulletin.Close();
   Wire waits = Owner();
-  waits.Say(Type::kTest, 1, Cause::kTestFailed);
+  waits.Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
   lives.push_back(std::make_unique<Program>(Nodes(), bulletin, Settings(), 0, 0,
                                             Platform{owners.socket(), tmp.string(), true}));
-  CHECK(waits.Hear(Type::kTestResult, 1).cause == 1);
+  CHECK(waits.Hear(Type::kHealthCheckResult, 1).cause == 1);
   CHECK(Get(lives.back()->admin_port(), "/v1/readyz").yes());
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -135,9 +135,9 @@
   protocol::AppendParameter(&block, Code::kDescription, std::string(500, 'd'));
   const std::uint64_t sends = sys::calls.send, written = protocol::bytes_written;
   {
-    protocol::Writer message(pair.connection->out(), Type::kSetUp, 0x0102030405060708);
+    protocol::Writer message(pair.connection->out(), Type::kTaskRequest, 0x0102030405060708);
     pair.connection->Refer(block, 0, class_end);
-    message.Foreign(block.size()).Add(Code::kWait, std::int64_t{1500});
+    message.AddExternalBytes(block.size()).Add(Code::kTimeoutMs, std::int64_t{1500});
     pair.connection->Refer(block, class_end, block.size());
   }
   pair.connection->Flush();
@@ -146,11 +146,11 @@
   const std::string bytes = pair.ReadSome(4096);
   protocol::Message m;
   std::size_t size = 0;
-  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::Step::kMessage);
+  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::DecodeStatus::kMessage);
   CHECK(size == bytes.size());
   CHECK(m.task == 0x0102030405060708);
   CHECK(m.Get(Code::kClass) == "web-api");
-  CHECK(m.Get(Code::kWait) == "1500");
+  CHECK(m.Get(Code::kTimeoutMs) == "1500");
   CHECK(m.Get(Code::kDescription) == std::string(500, 'd'));
 }
 
--- a/tests/operations_story_test.cpp
+++ b/tests/operations_story_test.cpp
@@ -14,7 +14,7 @@
   Wire before = Owner();
   Ask(&before, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   Start();
   old.Signal(SIGTERM);
   old.Logged("stopping: 1 requests");
@@ -22,12 +22,12 @@
   Wire after = Owner();
   Ask(&after, kOther, "unsafe");
   Wire again = first.Accept();
-  again.Hear(Type::kSetUp, kOther);
+  again.Hear(Type::kTaskRequest, kOther);
   again.Answer(kOther, "there");
-  CHECK(after.Hear(Type::kAnswer, kOther).description == "there");
+  CHECK(after.Hear(Type::kTaskAccepted, kOther).description == "there");
   // What was on its way in the old one is answered by it, on the connection that it came by.
   agent.Answer(kTask, "here");
-  CHECK(before.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(before.Hear(Type::kTaskAccepted, kTask).description == "here");
   CHECK(before.Closed());
   CHECK(old.ExitStatus() == 0);
   CHECK(Passes(&after));
@@ -37,9 +37,9 @@
   Program& old = Start();
   std::string bytes;
   {
-    protocol::Writer w(&bytes, Type::kSetUp, kTask);
-    w.Add(Code::kClass, "safe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-    w.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+    protocol::Writer w(&bytes, Type::kTaskRequest, kTask);
+    w.Add(Code::kClass, "safe").Add(Code::kTimeoutMs, "25000").Add(Code::kTenant, "shop one");
+    w.Add(Code::kName, "0b5e").Add(Code::kResources, "cores:1;memory:2;service:0b");
     w.Add(Code::kDescription, "run");
   }
   Wire owner = Owner();
@@ -50,9 +50,9 @@
   old.Logged("stopping");
   owner.Raw(bytes.substr(20));
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "here");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "here");
   CHECK(old.ExitStatus() == 0);
 }
 
@@ -61,9 +61,9 @@
   Wire before = Owner();
   Ask(&before, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "here");
-  before.Hear(Type::kAnswer, kTask);
+  before.Hear(Type::kTaskAccepted, kTask);
   Program& fresh = Start();
   old.Signal(SIGTERM);
   CHECK(before.Closed());
@@ -88,9 +88,9 @@
   Wire owner = Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   first.Close();  // it leaves: its old connection goes on, dials are refused
   Program& fresh = Start();
   old.Signal(SIGTERM);
@@ -107,9 +107,9 @@
   Wire owner = Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   Start();
   lives.pop_back();  // killed just after its yes: the old one was told nothing, and serves on
   lists.pop_back();
@@ -135,9 +135,9 @@
   fresh.ExitStatus();
   lives.pop_back();
   Wire waits = Owner();  // nobody is there, and nobody is refused
-  waits.Say(Type::kTest, 1, Cause::kTestFailed);
+  waits.Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
   Start();
-  CHECK(waits.Hear(Type::kTestResult, 1).cause == 1);
+  CHECK(waits.Hear(Type::kHealthCheckResult, 1).cause == 1);
 }
 
 TEST_CASE_FIXTURE(
@@ -153,9 +153,9 @@
   Wire owner = Owner();
   Ask(&owner, kTask, "safe");
   Wire there = second.Accept();
-  there.Hear(Type::kSetUp, kTask);
+  there.Hear(Type::kTaskRequest, kTask);
   there.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   CHECK_FALSE(first.Dialled());
 
   // The next process knows of it too, and of what the old one is told later.
@@ -173,7 +173,7 @@
   Wire again = Owner();
   Ask(&again, kOther, "safe");
   Wire back = first.Accept();  // it stays open: an agent that breaks off would be set aside
-  back.Hear(Type::kSetUp, kOther);
+  back.Hear(Type::kTaskRequest, kOther);
   CHECK(FiguresOf(fresh.admin_port())["out_of_rotation"] == 1);
 }
 
@@ -187,9 +187,9 @@
   Wire owner = Owner();
   Ask(&owner, kTask, "safe");
   Wire there = second.Accept();
-  there.Hear(Type::kSetUp, kTask);
+  there.Hear(Type::kTaskRequest, kTask);
   there.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   there.Say(Type::kRelease, kTask, Cause::kEnded);
   owner.Hear(Type::kRelease, kTask);
   CHECK(std::filesystem::file_size(file) == 0);
@@ -209,7 +209,7 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "safe");
   Wire there = second.Accept();
-  there.Hear(Type::kSetUp, kTask);
+  there.Hear(Type::kTaskRequest, kTask);
   CHECK_FALSE(first.Dialled());
 }
 
@@ -222,7 +222,7 @@
   CHECK(Passes(&idle));
   Ask(&busy, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   CHECK(Get(port, "/v1/readyz").status == 503);
   CHECK(idle.Closed());
@@ -230,7 +230,7 @@
   CHECK_FALSE(Passes(&asks));
   CHECK(asks.Closed());
   agent.Answer(kTask, "here");
-  CHECK(busy.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(busy.Hear(Type::kTaskAccepted, kTask).description == "here");
   // Its task stands: the end of it will have to be told, so this way stays, and takes nothing new.
   Ask(&busy, kOther, "unsafe");
   CHECK(busy.Hear(Type::kRelease, kOther).cause == 42);
@@ -261,17 +261,17 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   json figures = FiguresOf(port);
   CHECK(figures["open_requests"] == 1);
   CHECK(figures["relayed"] == 1);
   CHECK(figures["registry_entries"] == 2);
   CHECK(figures["out_of_rotation"] == 0);
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   Ask(&owner, kOther, "unsafe");
-  agent.Hear(Type::kSetUp, kOther);
-  agent.Say(Type::kRelease, kOther, Cause::kReset);
+  agent.Hear(Type::kTaskRequest, kOther);
+  agent.Say(Type::kRelease, kOther, Cause::kAborted);
   owner.Hear(Type::kRelease, kOther);
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   owner.Hear(Type::kRelease, kTask);
--- a/tests/settings_story_test.cpp
+++ b/tests/settings_story_test.cpp
@@ -23,7 +23,7 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   SUBCASE("dropped") {
     program.Configure(With(program, {Service("safe", "pure"), Service("batch", "pure")}).dump());
     program.Signal(SIGHUP);
@@ -37,7 +37,7 @@
     program.Logged("classes: 0 new, 1 changed, 1 dropped");
   }
   // The task may have run: an unsafe request is not retried, whatever the class allows for new requests.
-  node.Say(Type::kRelease, kTask, Cause::kReset);
+  node.Say(Type::kRelease, kTask, Cause::kAborted);
   CHECK(client.Hear(Type::kRelease, kTask).cause == 41);
   CHECK_FALSE(second.Dialled());
   CHECK(FiguresOf(port)["faulted"]["unsafe"] == 1);
@@ -50,9 +50,9 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "here");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   program.Configure(With(program, {Service("safe", "pure"), Service("batch", "pure")}).dump());
   program.Signal(SIGHUP);
   program.Logged("classes: 1 new, 0 changed, 2 dropped");
@@ -76,9 +76,9 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "batch");
   Wire node = first.Accept();
-  CHECK(node.Hear(Type::kSetUp, kTask).class_name == "batch");
+  CHECK(node.Hear(Type::kTaskRequest, kTask).class_name == "batch");
   node.Answer(kTask, "here");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   CHECK(FiguresOf(program.admin_port())["fulfilled"]["batch"] == 1);
 }
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -6,7 +6,7 @@
 
 #include <fstream>
 
-#include "agreement_world.h"
+#include "raft_simulation.h"
 #include "store/store_thread.h"
 #include "store_fault_vfs.h"
 
@@ -330,9 +330,9 @@
   if (const auto& snapshot = records.snapshot) {
     batch.snapshot = Snapshot{snapshot->index, snapshot->term, consensus::EncodeMembers(snapshot->members),
                               snapshot->state};
-    batch.remove_all_entries = records.whole;
+    batch.remove_all_entries = records.replaces_log;
   }
-  batch.first_index = records.first;
+  batch.first_index = records.first_index;
   for (const consensus::Entry& entry : records.entries) {
     batch.entries.push_back({entry.term, static_cast<std::uint8_t>(entry.kind), entry.bytes});
   }
@@ -342,7 +342,7 @@
 TEST_CASE("store: keeps all records of three members through crashes and snapshots") {
   FaultVfs vfs;
   std::string error;
-  consensus::World world(3, 21);
+  consensus::SimulatedCluster world(3, 21);
   std::map<std::uint32_t, std::unique_ptr<Store>> stores;
   const auto name = [](std::uint32_t i) { return "/ledger-" + std::to_string(i); };
   world.on_save = [&](std::uint32_t i, const consensus::Records& records) {
@@ -351,16 +351,16 @@
   };
   for (int round = 0; round < 60; ++round) {
     for (int i = 0; i < 5; ++i) world.CommitOne(5 * consensus::kSecond);
-    world.Crash(world.Below(3), world.now + 200 * consensus::kMs);
+    world.Crash(world.RandomBelow(3), world.now + 200 * consensus::kMs);
     world.Run(20 * consensus::kMs);
   }
   world.Run(consensus::kSecond);
-  CHECK(world.answers >= 300);
+  CHECK(world.committed_proposals >= 300);
   for (std::uint32_t i = 0; i < 3; ++i) {
     stores[i].reset();
     stores[i] = Store::Open(name(i), SmallLimits(), &error, FaultVfs::kVfsName);
     Content content = stores[i]->ReleaseContent();
-    const consensus::Durable& kept = world.nodes[i].disk;
+    const consensus::DurableRecords& kept = world.nodes[i].disk;
     Batch expected = ToBatch({kept.state, kept.snapshot, true, kept.snapshot.index + 1, kept.entries});
     CHECK(kept.snapshot.index > 0);
     CHECK(content == Content{false, *expected.state, *expected.snapshot, expected.entries, {}});
