--- a/src/backfill/leases.cpp
+++ b/src/backfill/leases.cpp
@@ -10,7 +10,7 @@
   // follow the order that applies to budgets: shrink shares before growing others.
   std::uint32_t first = 0;
   for (std::uint32_t i = 1; i < members_; ++i) {
-    if (HashDraw(node, i) > HashDraw(node, first)) first = i;
+    if (HashToUnitInterval(node, i) > HashToUnitInterval(node, first)) first = i;
   }
   return first == member_ ? Access::kGuaranteed : Access::kUnavailable;
 }
--- a/src/clients/request_parser.cpp
+++ b/src/clients/request_parser.cpp
@@ -41,9 +41,9 @@
   const std::string_view key = message.Get(Code::kIdempotencyKey);
   const std::string_view description = message.Get(Code::kDescription);
   ForwardedPayload payload;
-  payload.bytes =
-      Blocks().Make(protocol::EncodedParameterSize(class_name) + protocol::EncodedParameterSize(name) +
-                    protocol::EncodedParameterSize(key) + protocol::EncodedParameterSize(description));
+  payload.bytes = SharedBlockPool().Allocate(
+      protocol::EncodedParameterSize(class_name) + protocol::EncodedParameterSize(name) +
+      protocol::EncodedParameterSize(key) + protocol::EncodedParameterSize(description));
   protocol::AppendParameter(&payload.bytes, Code::kClass, class_name);
   payload.class_end = payload.bytes.size();
   protocol::AppendParameter(&payload.bytes, Code::kName, name);
--- a/src/estimates/cell_exchange.cpp
+++ b/src/estimates/cell_exchange.cpp
@@ -53,7 +53,7 @@
     }
     ReceivedCell received{
         .version = cell.version, .epoch = std::max<std::int64_t>(cell.epoch, 0), .counts = {}};
-    limit_counters_.weights_clamped += static_cast<std::uint64_t>(received.counts.Take(cell.counts));
+    limit_counters_.weights_clamped += static_cast<std::uint64_t>(received.counts.Assign(cell.counts));
     const auto known = incarnation.cells.find(cell.key);
     if (known != incarnation.cells.end()) {
       // Two different copies with the same version are a fault of the sender; the total order makes every
--- a/src/estimates/run_time_estimator.cpp
+++ b/src/estimates/run_time_estimator.cpp
@@ -12,8 +12,8 @@
 constexpr double kRatioOne = 100e9;
 
 double ExpectedDuration(const Task& task) {
-  return static_cast<double>(
-      std::clamp(task.expected_duration, LogBuckets::kLeast, LogBuckets::Upper(LogBuckets::kBuckets - 1)));
+  return static_cast<double>(std::clamp(task.expected_duration, LogBuckets::kSmallestBound,
+                                        LogBuckets::UpperBound(LogBuckets::kBuckets - 1)));
 }
 
 Time ScaledValue(const Task& task, bool is_ratio, Time run_time) {
@@ -96,14 +96,15 @@
   RunningTask running{.task = task, .since = std::min(since, now), .sequence = ++last_sequence_};
   for (const Scale scale : {kRunTime, kRatio}) {
     if (scale == kRatio && task.expected_duration <= 0) continue;
-    const int bucket = StepBucket(LogBuckets::Of(ScaledValue(task, scale == kRatio, now - running.since)));
+    const int bucket =
+        StepBucket(LogBuckets::IndexOf(ScaledValue(task, scale == kRatio, now - running.since)));
     for (int level = 0; level < Key::kLevelCount; ++level) {
       Sketch* sketch =
           FindOrCreateSketch(MakeKey(task, static_cast<Key::Level>(level), scale == kRatio), now);
       running.sketches[scale][static_cast<std::size_t>(level)] = sketch;
       if (sketch == nullptr) continue;
       ++sketch->running_tasks;
-      if (!sketch->counts.Add(bucket, BucketCounts::kStanding)) ++limit_counters_.weights_clamped;
+      if (!sketch->counts.Add(bucket, BucketCounts::kRunning)) ++limit_counters_.weights_clamped;
     }
     running.bucket[scale] = bucket;
     MoveToBucket(task.id, &running, scale, bucket, now);
@@ -117,13 +118,13 @@
     if (sketch == nullptr) continue;
     sketch->version = ++version_;
     if (bucket == running->bucket[scale]) continue;
-    sketch->counts.Remove(running->bucket[scale], BucketCounts::kStanding);
-    if (!sketch->counts.Add(bucket, BucketCounts::kStanding)) ++limit_counters_.weights_clamped;
+    sketch->counts.Remove(running->bucket[scale], BucketCounts::kRunning);
+    if (!sketch->counts.Add(bucket, BucketCounts::kRunning)) ++limit_counters_.weights_clamped;
   }
   running->bucket[scale] = bucket;
   const int next = std::max(bucket + kStep, kFirstStep);
   if (next >= LogBuckets::kBuckets) return;  // it stays in the last step
-  auto age = static_cast<double>(LogBuckets::Upper(next - 1));
+  auto age = static_cast<double>(LogBuckets::UpperBound(next - 1));
   if (scale == kRatio) age *= ExpectedDuration(running->task) / kRatioOne;
   const Time due = running->since + static_cast<Time>(std::min(age, 4e18)) + 1;
   bucket_changes_.push({std::max(due, now + 1), id, running->sequence, scale});
@@ -136,7 +137,8 @@
     const auto it = running_tasks_.find(change.id);
     if (it == running_tasks_.end() || it->second.sequence != change.sequence) continue;  // it has ended
     RunningTask& running = it.value();
-    const int bucket = LogBuckets::Of(ScaledValue(running.task, change.scale == kRatio, now - running.since));
+    const int bucket =
+        LogBuckets::IndexOf(ScaledValue(running.task, change.scale == kRatio, now - running.since));
     MoveToBucket(change.id, &running, change.scale,
                  std::max(StepBucket(bucket), running.bucket[change.scale]), now);
   }
@@ -152,7 +154,7 @@
     for (Sketch* sketch : running.sketches[scale]) {
       if (sketch == nullptr) continue;
       --sketch->running_tasks;
-      sketch->counts.Remove(running.bucket[scale], BucketCounts::kStanding);
+      sketch->counts.Remove(running.bucket[scale], BucketCounts::kRunning);
       sketch->version = ++version_;
     }
   }
@@ -168,10 +170,10 @@
   if (LogBuckets::IsOutside(run_time)) ++limit_counters_.values_clamped;
   run_time = std::max<Time>(run_time, 0);
   const BucketCounts::Kind kind =
-      outcome == Outcome::kCompleted ? BucketCounts::kExits : BucketCounts::kCensored;
+      outcome == Outcome::kCompleted ? BucketCounts::kCompleted : BucketCounts::kCensored;
   for (const bool is_ratio : {false, true}) {
     if (is_ratio && task.expected_duration <= 0) continue;
-    const int bucket = LogBuckets::Of(ScaledValue(task, is_ratio, run_time));
+    const int bucket = LogBuckets::IndexOf(ScaledValue(task, is_ratio, run_time));
     for (int level = 0; level < Key::kLevelCount; ++level) {
       Sketch* sketch = FindOrCreateSketch(MakeKey(task, static_cast<Key::Level>(level), is_ratio), now);
       if (sketch == nullptr) continue;
--- a/src/estimates/run_time_estimator.h
+++ b/src/estimates/run_time_estimator.h
@@ -35,9 +35,9 @@
 // Faulty or malicious members: the weight of one member in a key is limited to half of the weight of all
 // others, or to `uncapped_member_weight` observations if that is more. Among honest members it thus has at
 // most a third of the weight, and where it is the only source the coarser key still has influence. Buckets
-// that do not exist, weights over BucketCounts::kMost, epochs in the future and excess cells are clamped or
-// dropped, and counted. The caller checks that the sender, as given by the transport, is the member named in
-// a message.
+// that do not exist, weights over BucketCounts::kMaxWeight, epochs in the future and excess cells are clamped
+// or dropped, and counted. The caller checks that the sender, as given by the transport, is the member named
+// in a message.
 #pragma once
 
 #include <array>
@@ -125,7 +125,7 @@
 
   // --- Queries: they use the class, tenant, service, cores and expected duration of the task ---
   // The run time within which the fraction `quantile` of such tasks completes. The relative error against the
-  // weighted observations is at most LogBuckets::kError.
+  // weighted observations is at most LogBuckets::kRelativeError.
   Time Quantile(const Task& task, double quantile, Time now);
   // The quantile of the remaining run time of tasks that have run for `elapsed`, in seconds.
   double RemainingSeconds(const Task& task, Time elapsed, double quantile, Time now);
--- a/src/estimates/run_time_queries.cpp
+++ b/src/estimates/run_time_queries.cpp
@@ -20,16 +20,16 @@
   std::uint64_t total_weight = 0;
   const auto aged_weight = [](const Source& source, const BucketCounts::Entry& entry,
                               int kind) -> std::uint64_t {
-    if (kind != BucketCounts::kStanding)
+    if (kind != BucketCounts::kRunning)
       return entry.weight[static_cast<std::size_t>(kind)] >> source.halvings;
     return source.counts_running
-               ? entry.weight[BucketCounts::kStanding] >> (source.ages_running ? source.halvings : 0)
+               ? entry.weight[BucketCounts::kRunning] >> (source.ages_running ? source.halvings : 0)
                : 0;
   };
   const auto add_source = [&](const Source& source) {
     std::uint64_t weight = 0;
     for (const BucketCounts::Entry& entry : source.counts->entries()) {
-      for (int kind = 0; kind < BucketCounts::kKinds; ++kind) weight += aged_weight(source, entry, kind);
+      for (int kind = 0; kind < BucketCounts::kKindCount; ++kind) weight += aged_weight(source, entry, kind);
     }
     total_weight += weight;
     if (source.member >= 0) member_weights[static_cast<std::size_t>(source.member)] += weight;
@@ -60,7 +60,8 @@
   ObservationCounts counts;
   constexpr std::uint64_t kWhole = 1u << 20;
   std::vector<std::uint64_t> fractions(member_weights.size(), kWhole);
-  const auto uncapped = static_cast<std::uint64_t>(parameters_.uncapped_member_weight * BucketCounts::kOne);
+  const auto uncapped =
+      static_cast<std::uint64_t>(parameters_.uncapped_member_weight * BucketCounts::kUnitWeight);
   for (std::size_t i = 0; i < member_weights.size(); ++i) {
     const std::uint64_t limit = std::max(uncapped, (total_weight - member_weights[i]) / 2);
     if (member_weights[i] <= limit) continue;
@@ -71,10 +72,10 @@
     const std::uint64_t fraction =
         source.member < 0 ? kWhole : fractions[static_cast<std::size_t>(source.member)];
     for (const BucketCounts::Entry& entry : source.counts->entries()) {
-      for (int kind = 0; kind < BucketCounts::kKinds; ++kind) {
+      for (int kind = 0; kind < BucketCounts::kKindCount; ++kind) {
         const double weight = static_cast<double>(aged_weight(source, entry, kind) * fraction) /
-                              static_cast<double>(kWhole * BucketCounts::kOne);
-        (kind == BucketCounts::kExits ? counts.completed : counts.censored)[entry.bucket] += weight;
+                              static_cast<double>(kWhole * BucketCounts::kUnitWeight);
+        (kind == BucketCounts::kCompleted ? counts.completed : counts.censored)[entry.bucket] += weight;
         counts.total += weight;
       }
     }
@@ -107,17 +108,17 @@
 
 Time RunTimeEstimator::Quantile(const Task& task, double quantile, Time now) {
   const MixedCurve mixed = MixedCurveFor(task, now);
-  if (mixed.ratio_weight <= 0) return LogBuckets::Middle(mixed.run_time->QuantileBucket(quantile));
+  if (mixed.ratio_weight <= 0) return LogBuckets::Midpoint(mixed.run_time->QuantileBucket(quantile));
   int low = 0, high = LogBuckets::kBuckets - 1;
   while (low < high) {
     const int mid = (low + high) / 2;
-    if (mixed.SurvivalPast(static_cast<double>(LogBuckets::Upper(mid))) <= 1 - quantile + 1e-12) {
+    if (mixed.SurvivalPast(static_cast<double>(LogBuckets::UpperBound(mid))) <= 1 - quantile + 1e-12) {
       high = mid;
     } else {
       low = mid + 1;
     }
   }
-  return LogBuckets::Middle(low);
+  return LogBuckets::Midpoint(low);
 }
 
 double RunTimeEstimator::RemainingSeconds(const Task& task, Time elapsed, double quantile, Time now) {
@@ -127,17 +128,17 @@
   // Beyond the range of the scale: as long again as it has run.
   if (alive <= 0) return age * 1e-9;
   const double target = alive * (1 - quantile);
-  int low = LogBuckets::Of(elapsed), high = LogBuckets::kBuckets - 1;
+  int low = LogBuckets::IndexOf(elapsed), high = LogBuckets::kBuckets - 1;
   while (low < high) {
     const int mid = (low + high) / 2;
-    if (mixed.SurvivalPast(static_cast<double>(LogBuckets::Upper(mid))) <= target) {
+    if (mixed.SurvivalPast(static_cast<double>(LogBuckets::UpperBound(mid))) <= target) {
       high = mid;
     } else {
       low = mid + 1;
     }
   }
-  const double from = std::max(age, static_cast<double>(LogBuckets::Lower(low)));
-  const double to = static_cast<double>(LogBuckets::Upper(low));
+  const double from = std::max(age, static_cast<double>(LogBuckets::LowerBound(low)));
+  const double to = static_cast<double>(LogBuckets::UpperBound(low));
   const double above = mixed.SurvivalPast(from), below = mixed.SurvivalPast(to);
   const double part = above > below ? std::clamp((above - target) / (above - below), 0.0, 1.0) : 1.0;
   return std::max(0.0, from + part * (to - from) - age) * 1e-9;
--- a/src/estimates/survival_curve.cpp
+++ b/src/estimates/survival_curve.cpp
@@ -7,9 +7,9 @@
 
 double SurvivalCurve::SurvivalPast(double duration) const {
   if (duration <= 0) return 1;
-  const int bucket = LogBuckets::Of(static_cast<Time>(std::min(duration, 9e18)));
-  const auto lower = static_cast<double>(LogBuckets::Lower(bucket));
-  const auto upper = static_cast<double>(LogBuckets::Upper(bucket));
+  const int bucket = LogBuckets::IndexOf(static_cast<Time>(std::min(duration, 9e18)));
+  const auto lower = static_cast<double>(LogBuckets::LowerBound(bucket));
+  const auto upper = static_cast<double>(LogBuckets::UpperBound(bucket));
   const double fraction_of_bucket = std::clamp((duration - lower) / (upper - lower), 0.0, 1.0);
   return SurvivalPastBucket(bucket - 1) +
          fraction_of_bucket * (SurvivalPastBucket(bucket) - SurvivalPastBucket(bucket - 1));
@@ -24,7 +24,7 @@
 
 SurvivalCurve LogUniformCurve(Time from, Time to) {
   constexpr double kTailFraction = 0.01;
-  const int first = LogBuckets::Of(from), last = LogBuckets::Of(to);
+  const int first = LogBuckets::IndexOf(from), last = LogBuckets::IndexOf(to);
   SurvivalCurve curve;
   for (int i = 0; i < LogBuckets::kBuckets; ++i) {
     double surviving = 0;
--- a/src/nodes/node_connection_pool.cpp
+++ b/src/nodes/node_connection_pool.cpp
@@ -78,8 +78,8 @@
 void NodeConnectionPool::ForgetRemovedNodes() {
   for (auto it = nodes_.begin(); it != nodes_.end();) {
     NodeRecord& record = it->second;
-    Tighten(&record.sent_attempts);
-    Tighten(&record.running_tasks);
+    ShrinkIfSparse(&record.sent_attempts);
+    ShrinkIfSparse(&record.running_tasks);
     if (!CanForget(record)) {
       ++it;
       continue;
--- a/src/nodes/reply_decoder.cpp
+++ b/src/nodes/reply_decoder.cpp
@@ -76,7 +76,7 @@
     if (colon == std::string_view::npos) continue;
     double value = 0;
     if (scheduling::simulator::ReadNumber(field.substr(colon + 1), &value)) {
-      scheduling::simulator::TellField(&report, field.substr(0, colon), value);
+      scheduling::simulator::SetReportField(&report, field.substr(0, colon), value);
     }
   }
   return report;
--- a/src/zone_failover/admission_control.cpp
+++ b/src/zone_failover/admission_control.cpp
@@ -7,7 +7,8 @@
 namespace cluster_manager::zone_failover {
 namespace {
 
-constexpr std::uint64_t kAdmissionDrawStream = 0x51735;  // separates these draws from other uses of HashDraw
+constexpr std::uint64_t kAdmissionDrawStream =
+    0x51735;  // separates these draws from other uses of HashToUnitInterval
 constexpr std::int64_t kScaleInterval = 200'000'000;
 
 }  // namespace
@@ -17,13 +18,13 @@
 
 void AdmissionControl::RecordArrival(int rank, Resources amount, Time now) {
   ResourceRate& rate = demand_[static_cast<std::size_t>(rank)];
-  rate.cores.Note(now, amount.cores);
-  rate.memory.Note(now, amount.memory);
+  rate.cores.Record(now, amount.cores);
+  rate.memory.Record(now, amount.memory);
 }
 
 void AdmissionControl::RecordTaskEnd(Resources amount, Time now) {
-  release_rate_.cores.Note(now, amount.cores);
-  release_rate_.memory.Note(now, amount.memory);
+  release_rate_.cores.Record(now, amount.cores);
+  release_rate_.memory.Record(now, amount.memory);
 }
 
 void AdmissionControl::AdmitAll() {
@@ -98,7 +99,7 @@
 
 bool AdmissionControl::Admits(int rank, std::uint64_t name) const {
   if (rank != level_) return rank < level_;
-  return HashDraw(kAdmissionDrawStream, name) < share_;
+  return HashToUnitInterval(kAdmissionDrawStream, name) < share_;
 }
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/plan_reader.cpp
+++ b/src/zone_failover/plan_reader.cpp
@@ -26,7 +26,7 @@
   const json* Member(const json& in, const std::string& location, const char* name,
                      const std::vector<std::string>& members) {
     const auto it = in.find(name);
-    if (it == in.end() || !Object(*it, json_files::Below(location, name), members)) return nullptr;
+    if (it == in.end() || !Object(*it, json_files::JoinPath(location, name), members)) return nullptr;
     return &*it;
   }
   // Reads the number `name`, if present, from `min` to `max`, multiplied by `unit`.
@@ -36,7 +36,7 @@
     if (in == nullptr) return;
     const auto it = in->find(name);
     if (it == in->end()) return;
-    if (!Number(*it, json_files::Below(location, name), min, max)) return;
+    if (!Number(*it, json_files::JoinPath(location, name), min, max)) return;
     *target = static_cast<Value>(it->get<double>() * unit);
   }
   // Reads a duration in milliseconds into nanoseconds.
@@ -52,7 +52,7 @@
                                       : deployment_.classes.end();
     if (it == deployment_.classes.end()) {
       AddError(location, "is " + value.dump() + ", write a class of the settings: " +
-                             json_files::Listed(deployment_.classes) + "; or \"*\" for all");
+                             json_files::JoinList(deployment_.classes) + "; or \"*\" for all");
       return kInvalidClass;
     }
     return static_cast<int>(it - deployment_.classes.begin());
@@ -62,7 +62,7 @@
     const auto it = in.find(name);
     if (it == in.end()) return -1;
     if (!it->is_boolean()) {
-      AddError(json_files::Below(location, name),
+      AddError(json_files::JoinPath(location, name),
                "is " + it->dump() + ", write true or false, or leave it out for either");
       return -1;
     }
@@ -142,7 +142,7 @@
     if (!reader_->Object(rule, location, {"class", "over_share", "retry", "large"})) return;
     if (!rule.contains("class")) {
       reader_->AddError(location + ".class", "is missing, write a class of the settings: " +
-                                                 json_files::Listed(deployment_.classes));
+                                                 json_files::JoinList(deployment_.classes));
       return;
     }
     RankRule rank_rule;
@@ -213,9 +213,9 @@
                                                 ", write at least hold_ms, " +
                                                 MillisecondsText(health_monitor.recovery_hold));
   if (ramp.complete_rate < ramp.initial_rate)
-    reader->AddError("return.complete_per_s", "is " + json_files::Plain(ramp.complete_rate) +
+    reader->AddError("return.complete_per_s", "is " + json_files::FormatNumber(ramp.complete_rate) +
                                                   ", write at least first_per_s, " +
-                                                  json_files::Plain(ramp.initial_rate));
+                                                  json_files::FormatNumber(ramp.initial_rate));
 }
 
 void ReadRetryAfter(const json& top, const Deployment& deployment, PlanReader* reader, Plan* plan) {
@@ -253,7 +253,7 @@
 }
 
 Plan LoadPlan(const std::string& file, const Deployment& deployment) {
-  return ReadPlan(json_files::Load(file), file, deployment);
+  return ReadPlan(json_files::LoadDocument(file), file, deployment);
 }
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -39,7 +39,7 @@
                                  Time now) {
   if (!in_service || !IsKnownZone(zone)) {
     nodes_.erase(node);
-    if (nodes_.empty()) Tighten(&nodes_);
+    if (nodes_.empty()) ShrinkIfSparse(&nodes_);
     health_monitor_.RecordListing(node, -1, now);
     return;
   }
@@ -55,8 +55,8 @@
 
 void ZoneFailover::RecordTaskEnd(double cores, double memory, Time now) {
   admission_control_.RecordTaskEnd({cores, memory}, now);
-  unlisted_usage_.cores.Note(now, -cores);  // the endpoint list shows this with the same delay
-  unlisted_usage_.memory.Note(now, -memory);
+  unlisted_usage_.cores.Record(now, -cores);  // the endpoint list shows this with the same delay
+  unlisted_usage_.memory.Record(now, -memory);
 }
 
 Resources ZoneFailover::FreeCapacity(Time now) const {
@@ -183,8 +183,8 @@
 }
 
 void ZoneFailover::RecordPlacement(int zone, const scheduling::Task& task, Time now) {
-  unlisted_usage_.cores.Note(now, task.cores);
-  unlisted_usage_.memory.Note(now, task.memory);
+  unlisted_usage_.cores.Record(now, task.cores);
+  unlisted_usage_.memory.Record(now, task.memory);
   if (!IsKnownZone(zone)) return;
   ZoneRecord& record = zones_[static_cast<std::size_t>(zone)];
   if (health_monitor_.zone(zone).last_reply == 0) ++record.unconfirmed_placements;
@@ -217,7 +217,8 @@
   const int ranks = std::max(1, admission_control_.rank_count());
   const double relative_distance =
       static_cast<double>(std::max(0, rank - admission_control_.level())) / ranks;
-  const double random_part = HashDraw(kRetryAfterDrawStream, task.name != 0 ? task.name : task.service);
+  const double random_part =
+      HashToUnitInterval(kRetryAfterDrawStream, task.name != 0 ? task.name : task.service);
   const double share = std::clamp(0.5 * relative_distance + 0.5 * random_part, 0.0, 1.0);
   return plan_.min_retry_after +
          static_cast<Time>(share * static_cast<double>(plan_.max_retry_after - plan_.min_retry_after));
--- a/src/zone_failover/zone_health_monitor.cpp
+++ b/src/zone_failover/zone_health_monitor.cpp
@@ -24,7 +24,7 @@
   const bool known = zone >= 0 && zone < zone_count();
   if (!known) {
     nodes_.erase(node);
-    if (nodes_.empty()) Tighten(&nodes_);
+    if (nodes_.empty()) ShrinkIfSparse(&nodes_);
     return;
   }
   nodes_[node].zone = zone;
@@ -112,7 +112,8 @@
   std::vector<std::pair<bool, std::pair<double, NodeId>>> candidates;
   for (const auto& [id, node] : nodes_) {
     if (node.zone != zone) continue;
-    candidates.push_back({(node.silent_since > 0) != silent_first, {HashDraw(check_round_, id), id}});
+    candidates.push_back(
+        {(node.silent_since > 0) != silent_first, {HashToUnitInterval(check_round_, id), id}});
   }
   ++check_round_;
   const std::size_t count =
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -44,11 +44,11 @@
   pcg32 random(1);
   for (int i = 0; i < 20'000; ++i) {
     const Time value = Lognormal(random, 60, 2);
-    const int bucket = LogBuckets::Of(value);
-    REQUIRE(LogBuckets::Lower(bucket) < value);
-    REQUIRE(value <= LogBuckets::Upper(bucket));
-    const auto middle = static_cast<double>(LogBuckets::Middle(bucket));
-    REQUIRE(std::abs(middle / static_cast<double>(value) - 1) <= LogBuckets::kError + 1e-6);
+    const int bucket = LogBuckets::IndexOf(value);
+    REQUIRE(LogBuckets::LowerBound(bucket) < value);
+    REQUIRE(value <= LogBuckets::UpperBound(bucket));
+    const auto middle = static_cast<double>(LogBuckets::Midpoint(bucket));
+    REQUIRE(std::abs(middle / static_cast<double>(value) - 1) <= LogBuckets::kRelativeError + 1e-6);
   }
 }
 
@@ -58,8 +58,8 @@
   for (int i = 0; i < 500; ++i) {
     const int bucket = static_cast<int>(random(40));
     const std::uint32_t weight = random(5000);
-    at_once.Add(bucket, BucketCounts::kExits, weight);
-    by_steps.Add(bucket, BucketCounts::kExits, weight);
+    at_once.Add(bucket, BucketCounts::kCompleted, weight);
+    by_steps.Add(bucket, BucketCounts::kCompleted, weight);
   }
   at_once.Halve(5);
   for (const int times : {2, 0, 1, 2}) by_steps.Halve(times);
@@ -79,7 +79,7 @@
     for (const double q : {0.05, 0.25, 0.5, 0.9, 0.99}) {
       const auto exact = static_cast<double>(all[static_cast<std::size_t>(std::ceil(q * 700 - 1e-9)) - 1]);
       const auto estimate = static_cast<double>(estimator.Quantile(MakeTask(7), q, kStart));
-      CHECK(std::abs(estimate / exact - 1) <= LogBuckets::kError + 1e-6);
+      CHECK(std::abs(estimate / exact - 1) <= LogBuckets::kRelativeError + 1e-6);
     }
   }
 }
@@ -128,17 +128,18 @@
       // Ends at once: a censored observation in the first bucket.
       estimator.OnTaskEnded(id, Outcome::kCensored, now);
       all.push_back({0, false});
-      all.push_back({LogBuckets::Of(run_time), full_run_time <= censoring_time});
+      all.push_back({LogBuckets::IndexOf(run_time), full_run_time <= censoring_time});
     }
     now += 30 * kSecond;
     for (const auto& [since, id] : running) {
-      const int bucket = LogBuckets::Of(now - since);
+      const int bucket = LogBuckets::IndexOf(now - since);
       all.push_back({bucket < 48 ? 0 : bucket - bucket % 4, false});
     }
     for (int bucket = 0; bucket < 120; ++bucket) {
       const std::optional<double> exact = ProductLimit(all, bucket);
       if (!exact) break;
-      const double estimate = estimator.SurvivalProbability(MakeTask(7), 0, LogBuckets::Upper(bucket), now);
+      const double estimate =
+          estimator.SurvivalProbability(MakeTask(7), 0, LogBuckets::UpperBound(bucket), now);
       REQUIRE(estimate == doctest::Approx(*exact).epsilon(1e-9));
     }
     CHECK(estimator.running_task_count() == running.size());
@@ -273,7 +274,7 @@
   for (scheduling::RequestId id = 1; id <= 40; ++id) estimator.OnTaskEnded(id, Outcome::kCensored, now);
   CHECK(estimator.running_task_count() == 0);
   for (const CellDelta::Cell& cell : estimator.BuildDelta(0, 10'000, now).cells) {
-    for (const auto& entry : cell.counts) REQUIRE(entry.weight[BucketCounts::kStanding] == 0);
+    for (const auto& entry : cell.counts) REQUIRE(entry.weight[BucketCounts::kRunning] == 0);
   }
 }
 
