--- a/src/cli/sites_command.cpp
+++ b/src/cli/sites_command.cpp
@@ -155,12 +155,12 @@
       if (share < 0 || IndexOf(loaded.deployment.classes, name) < 0)
         throw UsageError("--mix " + each + ": write CLASS=SHARE, with a class of: " +
                          json_files::JoinList(loaded.deployment.classes));
-      parameters.mix[name] = share;
+      parameters.demand_shares[name] = share;
     }
-    parameters.patience = loaded.config.dial_timeout;
-    parameters.cold = settings.slow_start_duration;
-    parameters.fall = settings.overload_window;
-    parameters.cold_sends = settings.slow_start_sends;
+    parameters.request_timeout = loaded.config.dial_timeout;
+    parameters.slow_start_duration = settings.slow_start_duration;
+    parameters.overload_window = settings.overload_window;
+    parameters.slow_start_sends = settings.slow_start_sends;
     const zone_failover::Drill drill =
         zone_failover::RunDrill(plan, loaded.deployment, nodes, lost_sites, parameters);
     const std::string text =
