--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -34,10 +34,10 @@
 namespace cluster_manager {
 
 enum class Phase {
-  kStarting,                   // waits for an endpoint list to serve by
+  kStarting,                   // waits for an endpoint list
   kServing,                    // accepts and serves
   kDraining,                   // an operator has taken the process out of service
-  kAcceptingFinalConnections,  // stopping: still accepts connections that were opened before clients knew
+  kAcceptingFinalConnections,  // stopping: still accepts connections of clients that do not know of it yet
   kAwaitingAnswers,            // stopping: the listener is closed, open requests are answered
   kFlushing,                   // stopping: clients get time to read the last bytes
   kHandingOver,                // stopping: the next process accepts on the shared socket
@@ -45,11 +45,11 @@
 };
 
 enum class LifecycleEvent {
-  kCanServe,          // the endpoint list is good enough to serve by
+  kCanServe,          // the process is ready to serve (ServerProcess::CanServe)
   kDrain,             // an operator's call
   kActivate,          // an operator's call
   kTerminate,         // SIGTERM or SIGINT
-  kListenerClosed,    // every connection that was queued by then is accepted
+  kListenerClosed,    // every queued connection was accepted, or the time for it is up
   kRequestsAnswered,  // no request is unanswered, or the time for it is up
   kFlushTimeout       // the time for clients to read the last bytes is up
 };
@@ -58,7 +58,7 @@
 // the listening socket came from the parent process, so that another process may accept on it.
 Phase NextPhase(Phase phase, LifecycleEvent event, bool inherited_socket);
 
-// True from SIGTERM on. No transition leads back.
+// True in every phase after SIGTERM or SIGINT. No transition leads back.
 bool IsStopping(Phase phase);
 
 }  // namespace cluster_manager
--- a/src/shared_file/shared_file.cpp
+++ b/src/shared_file/shared_file.cpp
@@ -28,7 +28,7 @@
  public:
   OpenFile(const std::string& path, int flags) : descriptor_(::open(path.c_str(), flags | O_CLOEXEC, 0600)) {}
   ~OpenFile() {
-    const int saved_errno = errno;  // the caller reports the error of the failed call before this one
+    const int saved_errno = errno;               // the caller reports the error of an earlier call
     if (descriptor_ >= 0) ::close(descriptor_);  // releases the lock as well
     errno = saved_errno;
   }
@@ -79,7 +79,7 @@
   return bytes;
 }
 
-// Nothing where the file holds no complete text.
+// Nothing where the file does not hold a complete text.
 std::optional<StoredText> ReadStoredText(int descriptor) {
   const std::string bytes = ReadBytes(descriptor);
   const std::size_t header_end = bytes.find('\n');
@@ -91,7 +91,7 @@
   return stored;
 }
 
-// False, with errno set, where the bytes cannot be written.
+// Replaces the content of the file. False, with errno set, where it cannot be written.
 bool WriteBytes(int descriptor, const std::string& bytes) {
   std::size_t written = 0;
   while (written < bytes.size()) {
@@ -114,7 +114,8 @@
                         status.st_size};
   if (last_read_state_ == state) return std::nullopt;
   const bool is_stable = NanosecondsSinceEpoch() - state.modified_at > kModificationTimeResolution;
-  const OpenFile file(path_, O_RDONLY);  // without the lock: a text that is being written is incomplete
+  const OpenFile file(
+      path_, O_RDONLY);  // without the lock: a text that is being written is recognized as incomplete
   if (!file.is_open()) return std::nullopt;
   std::optional<StoredText> stored = ReadStoredText(file.descriptor());
   last_read_state_ = is_stable ? std::optional(state) : std::nullopt;
--- a/src/shared_file/shared_file_monitor.cpp
+++ b/src/shared_file/shared_file_monitor.cpp
@@ -20,7 +20,7 @@
 
 void SharedFileMonitor::StartThread() {
   if (thread_.joinable()) return;
-  // The new thread inherits a full signal mask: signals are handled by the event loop's thread alone.
+  // The new thread inherits a mask that blocks all signals: only the event loop's thread handles them.
   sigset_t all_signals;
   sigset_t previous_mask;
   sigfillset(&all_signals);
@@ -98,8 +98,8 @@
   if (text) PublishUpdate({file, std::move(text), 0, 0});
 }
 
-// An update replaces one that was not taken, but keeps what it does not say itself: the text, and the number
-// of the last change that was written, which only grows.
+// Replaces a pending update, but keeps its text and the number of its last written change where the new
+// update has none.
 void SharedFileMonitor::PublishUpdate(FileUpdate update) {
   bool is_first = false;
   {
--- a/src/shared_file/shared_file_monitor.h
+++ b/src/shared_file/shared_file_monitor.h
@@ -1,10 +1,10 @@
-// Reads and writes the files that two processes of one cluster manager share, on a thread of its own: a slow
-// disk, or another process that holds a file's lock, never delays the event loop. The loop requests a change
-// and goes on; it is woken when there are updates to take.
+// Reads and writes the files that two processes of one cluster manager share, on its own thread, so that
+// neither a slow disk nor another process that holds a file's lock delays the event loop. The loop requests
+// changes without waiting, and is woken when there are updates.
 //
-// Bounds: each file has at most one requested change and one update that was not taken; a later one replaces
-// or is merged with the earlier one. Owned by ServerProcess; every public function is called from the event
-// loop's thread.
+// Bounds: each file has at most one requested change and one pending update; a later one replaces the earlier
+// one or is merged with it. Owned by ServerProcess; every public function is called from the event loop's
+// thread.
 #pragma once
 
 #include <chrono>
@@ -23,17 +23,17 @@
 
 class SharedFileMonitor {
  public:
+  // A change of a file by another process, or the result of a requested change.
   struct FileUpdate {
-    std::size_t file = 0;  // its position in the constructor's paths
-    std::optional<std::string>
-        text;                   // the whole text, where another process changed it or it was written here
-    std::uint64_t written = 0;  // requested changes up to this number are in the file; 0: none newly
-    int error = 0;              // errno of the last requested change where it failed, else 0
+    std::size_t file = 0;             // its position in the constructor's paths
+    std::optional<std::string> text;  // the new text, from another process or from a requested change
+    std::uint64_t written = 0;        // requested changes up to this number have been written; 0: no new one
+    int error = 0;                    // errno of the last requested change if it failed, else 0
   };
 
   // Reads all files once before it returns; their texts are the first updates. `wake` is called on the
-  // monitor's thread when there are updates after there were none. `poll_interval`: how often the files are
-  // checked for changes by other processes. The thread starts with the first call of WatchForChanges() or
+  // monitor's thread when the first pending update is added. `poll_interval`: how often the files are checked
+  // for changes by other processes. The thread starts with the first call of WatchForChanges() or
   // RequestChange().
   SharedFileMonitor(const std::vector<std::string>& paths, std::chrono::milliseconds poll_interval,
                     std::function<void()> wake);
@@ -41,15 +41,15 @@
   SharedFileMonitor(const SharedFileMonitor&) = delete;
   SharedFileMonitor& operator=(const SharedFileMonitor&) = delete;
 
-  // From now on changes by other processes are updates. Idempotent.
+  // From now on changes by other processes are reported as updates. Idempotent.
   void WatchForChanges();
-  // Makes the change on the thread, without waiting for it. It replaces one that was requested for the same
-  // file and not made yet, and so has to include everything that is not known to be written. `number`: higher
-  // than those before it for this file. `change` runs on the thread.
+  // Requests a change, which is made on the thread; does not wait for it. It replaces a change of the same
+  // file that has not been made yet, so it must include everything that is not known to be written. `number`
+  // must be higher than those of earlier changes of this file.
   void RequestChange(std::size_t file, std::uint64_t number, SharedFile::Change change);
-  // At most one update for each file; empty where there is none.
+  // Returns and removes the pending updates, at most one for each file.
   std::vector<FileUpdate> TakeUpdates();
-  // Makes the requested changes, then ends the thread. Waits for the disk. Idempotent.
+  // Makes the requested changes and ends the thread. Waits for the disk. Idempotent.
   void Finish();
 
  private:
@@ -58,7 +58,7 @@
     SharedFile::Change change;
   };
   struct MonitoredFile {
-    SharedFile file;                           // used by the thread alone once it runs
+    SharedFile file;                           // used by the thread only, once it runs
     std::optional<RequestedChange> requested;  // under the mutex
     std::optional<FileUpdate> update;          // under the mutex
   };
