--- a/tests/compatibility_operators_test.cpp
+++ b/tests/compatibility_operators_test.cpp
@@ -1,5 +1,5 @@
-// What operators see of the running program: the paths and methods of its address, the status of each answer
-// and the keys of the metrics. These outlive any renaming of the source.
+// The interface of the running program for operators: paths and methods of the admin API, the status of each
+// answer and the keys of the metrics. Renaming in the source must not change them.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -13,7 +13,7 @@
 namespace cluster_manager::story {
 namespace {
 
-// The same document with the name of its JSON type in place of each value.
+// The document with each value replaced by the name of its JSON type.
 json TypesOf(const json& document) {
   if (!document.is_object()) return document.type_name();
   json types = json::object();
@@ -27,8 +27,8 @@
           {"out_of_rotation", "number"}, {"cfg_accepted", "number"},  {"cfg_invalid", "number"}};
 }
 
-TEST_CASE_FIXTURE(Operated,
-                  "GET /v1/metrics of the program has exactly the known keys, by class below three") {
+TEST_CASE_FIXTURE(
+    Operated, "GET /v1/metrics has exactly the known keys and three of them hold a value for each class") {
   Program& program = Start();
   Wire owner = Owner();
   Ask(&owner, kTask, "safe");
@@ -45,8 +45,8 @@
 }
 
 TEST_CASE("each metric is written under its key") {
-  Metrics figures;
-  *figures.CountersOf("web api") = {1, 2, 3};
+  Metrics metrics;
+  *metrics.CountersOf("web api") = {1, 2, 3};
   const json expected = {{"fulfilled", {{"web api", 1}}},
                          {"throttled", {{"web api", 2}}},
                          {"faulted", {{"web api", 3}}},
@@ -56,10 +56,10 @@
                          {"out_of_rotation", 7},
                          {"cfg_accepted", 8},
                          {"cfg_invalid", 9}};
-  CHECK(json::parse(figures.FormatJson({4, 5, 6, 7, 8, 9})) == expected);
+  CHECK(json::parse(metrics.FormatJson({4, 5, 6, 7, 8, 9})) == expected);
 }
 
-TEST_CASE("the metrics have their keys also where no class has been seen") {
+TEST_CASE("the metrics have all keys even where no class has been seen") {
   const json metrics = json::parse(Metrics().FormatJson({}));
   CHECK(TypesOf(metrics) == MetricsWith(json::object()));
 }
@@ -68,10 +68,10 @@
   const char* method;
   const char* path;
   int status;
-  const char* body;  // null: an object with the key "error" alone, whose value is a text
+  const char* body;  // null: an object with the single key "error", whose value is a string
 };
 
-TEST_CASE_FIXTURE(Operated, "each path and method of the operators' address has its status and body") {
+TEST_CASE_FIXTURE(Operated, "each path and method of the admin API has its status and body") {
   const int port = Start().admin_port();
   const std::vector<Expected> calls = {
       {"GET", "/v1/readyz", 200, R"({"ready":true})"},
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(Operated, "a path that is not known is answered with the list of those that are") {
+TEST_CASE_FIXTURE(Operated, "an unknown path is answered with the list of the calls") {
   const Reply reply = Get(Start().admin_port(), "/v1/unknown");
   CHECK(json::parse(reply.body)["error"] ==
         "'/v1/unknown' is no path here; the calls are GET /v1/readyz, GET /v1/metrics, POST "
--- a/tests/compatibility_shared_names_test.cpp
+++ b/tests/compatibility_shared_names_test.cpp
@@ -1,5 +1,5 @@
-// The names of the files that two processes of one cluster manager share, and that a process takes up those
-// which an earlier version has left, through the real program.
+// The names of the files that two processes of one cluster manager share, and that a process reads the files
+// of an earlier version. Runs the real program.
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -20,19 +20,20 @@
   return names;
 }
 
-void CopyKept(const std::string& name, const std::filesystem::path& folder) {
+void CopyTestFile(const std::string& name, const std::filesystem::path& folder) {
   std::filesystem::copy_file(std::string(WILLOWRAIL_TEST_DATA "/") + name, folder / name);
 }
 
-TEST_CASE_FIXTURE(Operated, "agents that a kept file of an earlier process names are out at the start") {
-  CopyKept("willowrail.n0.rotation", tmp);
+TEST_CASE_FIXTURE(Operated,
+                  "nodes that are named in a file of an earlier version are suspended at the start") {
+  CopyTestFile("willowrail.n0.rotation", tmp);
   const Program& program = Start();
   CHECK(FiguresOf(program.admin_port())["out_of_rotation"] == 2);
   CHECK(Post(program.admin_port(), "/v1/agents/s-00000001/resume").status == 200);
   CHECK(FiguresOf(program.admin_port())["out_of_rotation"] == 1);
 }
 
-TEST_CASE_FIXTURE(Operated, "a suspended agent is written to willowrail.NAME.rotation in TMPDIR") {
+TEST_CASE_FIXTURE(Operated, "a suspended node is written to willowrail.NAME.rotation in TMPDIR") {
   const Program& program = Start();
   REQUIRE(Post(program.admin_port(), "/v1/agents/s-00000002/suspend").status == 200);
   SharedFile file((tmp / "willowrail.n0.rotation").string());
@@ -46,19 +47,19 @@
   CHECK(NamesIn(tmp) == std::set<std::string>{"willowrail.n0.rotation"});
 }
 
-TEST_CASE_FIXTURE(Operated, "a standing task is passed on in willowrail.NAME.handover in TMPDIR") {
-  Program& old = Start();
-  Wire owner = Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
-  Program& fresh = Start();
-  old.Signal(SIGTERM);
-  CHECK(owner.Closed());
-  CHECK(old.ExitStatus() == 0);
-  fresh.Logged("taken over: 1 of 1 tasks");
+TEST_CASE_FIXTURE(Operated, "a running task is handed over in willowrail.NAME.handover in TMPDIR") {
+  Program& old_process = Start();
+  Wire client = Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "here");
+  client.Hear(Type::kAnswer, kTask);
+  Program& new_process = Start();
+  old_process.Signal(SIGTERM);
+  CHECK(client.Closed());
+  CHECK(old_process.ExitStatus() == 0);
+  new_process.Logged("taken over: 1 of 1 tasks");
   CHECK(NamesIn(tmp).contains("willowrail.n0.handover"));
 }
 
--- a/tests/lifecycle_test.cpp
+++ b/tests/lifecycle_test.cpp
@@ -18,7 +18,7 @@
                              Event::kTerminate,   Event::kListenerClosed, Event::kRequestsAnswered,
                              Event::kFlushTimeout};
 
-TEST_CASE("each phase is left by the events that are drawn for it, and by no other") {
+TEST_CASE("each phase is left by the events of its transitions and by no other") {
   for (const bool inherited : {false, true}) {
     const Phase stopping = inherited ? kHandingOver : kAcceptingFinalConnections;
     const std::map<std::pair<Phase, Event>, Phase> transitions = {
@@ -40,7 +40,7 @@
         const auto transition = transitions.find({phase, event});
         const Phase next = NextPhase(phase, event, inherited);
         CHECK(next == (transition == transitions.end() ? phase : transition->second));
-        if (IsStopping(phase)) CHECK(IsStopping(next));  // there is no way back
+        if (IsStopping(phase)) CHECK(IsStopping(next));  // no transition leads back
       }
     }
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the adapter: frames, round trips, malformed input.
+// The text protocol of the simulator adapter: framing, batches and malformed input.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
   std::string errors;
 };
 
-Reply Talk(const std::string& input) {
+Reply RunAdapter(const std::string& input) {
   std::istringstream in(input);
   std::ostringstream out, errors;
   const int status = Run(in, out, errors);
@@ -26,7 +26,7 @@
     "begin\t3\t51\tServices.count=1\tServices.0.Deadline=5000000000\tServices.0.Effect=pure\t"
     "FamilyInfo.CoresByKind=8\tFamilyInfo.MemoryByKind=16\tFamilyInfo.View=true\tAllowed.MostTries=2\t"
     "Period=2000000\tBrandNew.Key=what\n";
-const char* kRoster = "catalog\t0\t1\nm\t16\t1\t0\t0\t0\t-\t9\t8\t2\nroster_change\t3\t2\t1\t0\n";
+const char* kEndpointList = "catalog\t0\t1\nm\t16\t1\t0\t0\t0\t-\t9\t8\t2\nroster_change\t3\t2\t1\t0\n";
 const char* kRequest = "request\t3\tr-a\t9000000000\t0\t-\t77\t0\t2\t5\t-\t1\n";
 
 std::string Batch(const std::string& lines, int number = 1, long long at = 4000000000) {
@@ -34,15 +34,15 @@
 }
 
 TEST(Frames, EmptyBatch) {
-  const Reply reply = Talk(Batch("", 41));
+  const Reply reply = RunAdapter(Batch("", 41));
   EXPECT_EQ(reply.status, 0);
   EXPECT_EQ(reply.out, "done\t41\n");
 }
 
-TEST(Frames, ATaskIsOfferedAndPlaced) {
-  const Reply reply = Talk(Batch(std::string(kBegin) + kRoster + kRequest) +
-                           Batch("taken\t3\tr-a\t0\t9\t5000000\n", 2, 4005000000) +
-                           Batch("result\t3\tr-a\t0\t9\tOK\t18500000\t1\t-\t-\n", 3, 4018500000));
+TEST(Frames, ATaskIsAttemptedAndPlaced) {
+  const Reply reply = RunAdapter(Batch(std::string(kBegin) + kEndpointList + kRequest) +
+                                 Batch("taken\t3\tr-a\t0\t9\t5000000\n", 2, 4005000000) +
+                                 Batch("result\t3\tr-a\t0\t9\tOK\t18500000\t1\t-\t-\n", 3, 4018500000));
   EXPECT_EQ(reply.status, 0) << reply.errors;
   EXPECT_NE(reply.out.find("claim_room\t3\tr-a\t9\t"), std::string::npos);
   EXPECT_EQ(reply.out.substr(reply.out.find("done\t1\n")), "done\t1\ndone\t2\ndone\t3\n");
@@ -50,13 +50,13 @@
 
 TEST(Frames, CatalogNumbersAreReusedWithinABatch) {
   const std::string second = "catalog\t0\t1\nm\t16\t1\t0\t0\t0\t-\t10\t8\t2\nroster_change\t3\t1\t2\t0\n";
-  const Reply reply = Talk(Batch(std::string(kBegin) + kRoster + second + kRequest));
+  const Reply reply = RunAdapter(Batch(std::string(kBegin) + kEndpointList + second + kRequest));
   EXPECT_NE(reply.out.find("claim_room\t3\tr-a\t10\t"), std::string::npos) << reply.out;
 }
 
 TEST(Frames, DestroyAndBeginInOneBatch) {
-  const Reply reply =
-      Talk(Batch(std::string(kBegin) + kRoster + "destroy\t3\n" + kBegin + kRoster + kRequest));
+  const Reply reply = RunAdapter(
+      Batch(std::string(kBegin) + kEndpointList + "destroy\t3\n" + kBegin + kEndpointList + kRequest));
   EXPECT_EQ(reply.status, 0) << reply.errors;
   EXPECT_NE(reply.out.find("claim_room\t3\tr-a\t9\t"), std::string::npos);
 }
@@ -73,25 +73,26 @@
                "\t9000000000\t0\t-\t77\t0\t2\t5\t-\t1\n";
     }
   }
-  const Reply reply = Talk(Batch(lines));
+  const Reply reply = RunAdapter(Batch(lines));
   EXPECT_EQ(reply.status, 0) << reply.errors;
   for (int who = 0; who < 50; ++who) {
     EXPECT_NE(reply.out.find("claim_room\t" + std::to_string(who) + "\tr-0\t9\t"), std::string::npos) << who;
   }
 }
 
-TEST(Frames, UnknownEventsNotesAndReportFieldsAreSkipped) {
+TEST(Frames, UnknownEventsSignalsAndReportFieldsAreSkipped) {
   const Reply reply =
-      Talk(Batch(std::string(kBegin) + kRoster + kRequest + "eclipse\t3\ttotal\n" +
-                 "signal\t3\tr-a\t0\t9\t99\t1\n" + "probed\t3\t9\tOK\t5\tx0:1.5,moon:full:2\n"));
-  EXPECT_EQ(reply.status, 1);  // moon's value is not a number
-  const Reply fine = Talk(Batch(std::string(kBegin) + kRoster + kRequest + "eclipse\t3\ttotal\n" +
-                                "signal\t3\tr-a\t0\t9\t99\t1\n" + "probed\t3\t9\tOK\t5\tx0:1.5,moon:2\n"));
+      RunAdapter(Batch(std::string(kBegin) + kEndpointList + kRequest + "eclipse\t3\ttotal\n" +
+                       "signal\t3\tr-a\t0\t9\t99\t1\n" + "probed\t3\t9\tOK\t5\tx0:1.5,moon:full:2\n"));
+  EXPECT_EQ(reply.status, 1);  // the value of moon is not a number
+  const Reply fine =
+      RunAdapter(Batch(std::string(kBegin) + kEndpointList + kRequest + "eclipse\t3\ttotal\n" +
+                       "signal\t3\tr-a\t0\t9\t99\t1\n" + "probed\t3\t9\tOK\t5\tx0:1.5,moon:2\n"));
   EXPECT_EQ(fine.status, 0) << fine.errors;
 }
 
 TEST(Malformed, EachIsOnePlainLineNamingLineMessageAndField) {
-  const std::string open = std::string(kBegin) + kRoster;
+  const std::string open = std::string(kBegin) + kEndpointList;
   const std::pair<std::string, std::string> cases[] = {
       {"request\t3\tr-a\n", "line 6: request: fields: "},
       {"request\t3\tr-a\tsoon\t0\t-\t77\t0\t2\t5\t-\t1\n", "line 6: request: ClientDeadline: "},
@@ -109,7 +110,7 @@
       {"begin\t5\t1\tServices.count=many\n", "line 6: begin: Services.count: not a count"},
   };
   for (const auto& [line, expected] : cases) {
-    const Reply reply = Talk(Batch(open + line));
+    const Reply reply = RunAdapter(Batch(open + line));
     EXPECT_EQ(reply.status, 1) << line;
     EXPECT_NE(reply.errors.find(expected), std::string::npos) << line << " -> " << reply.errors;
     EXPECT_EQ(std::count(reply.errors.begin(), reply.errors.end(), '\n'), 1) << reply.errors;
@@ -117,9 +118,9 @@
 }
 
 TEST(Malformed, InputEndingInMidBatchIsAnError) {
-  EXPECT_EQ(Talk("round\t1\t1\n").status, 1);
-  EXPECT_EQ(Talk("").status, 0);
-  EXPECT_EQ(Talk("request\t1\n").status, 1);
+  EXPECT_EQ(RunAdapter("round\t1\t1\n").status, 1);
+  EXPECT_EQ(RunAdapter("").status, 0);
+  EXPECT_EQ(RunAdapter("request\t1\n").status, 1);
 }
 
 }  // namespace
