--- a/bench/libraries/measure.sh
+++ b/bench/libraries/measure.sh
@@ -5,7 +5,7 @@
 cd "$(dirname "$0")/../.."
 out=$(mktemp -d)
 trap 'rm -r "$out"' EXIT
-net="src/net/connection.cpp src/net/listener.cpp src/net/loop.cpp src/net/log.cpp src/net/wheel.cpp"
+net="src/net/connection.cpp src/net/listener.cpp src/net/loop.cpp src/net/log.cpp src/net/timer_wheel.cpp"
 
 build() {  # NAME SOURCES AND LIBRARIES...
   local name=$1 begin end
--- a/bench/libraries/probe.cpp
+++ b/bench/libraries/probe.cpp
@@ -151,7 +151,7 @@
 #elif defined(PROBE_HTTP_PARSER)
 void ParseOnce() {
   cluster_manager::admin::Request request;
-  if (request.Read(kRequest) != cluster_manager::admin::Request::Step::kWhole) std::abort();
+  if (request.Parse(kRequest) != cluster_manager::admin::Request::ParseResult::kComplete) std::abort();
 }
 #elif defined(PROBE_MICROHTTPD)
 MHD_Result OnCall(void*, MHD_Connection* connection, const char* url, const char*, const char*, const char*,
--- a/bench/standin/bulletin.cpp
+++ b/bench/standin/bulletin.cpp
@@ -70,11 +70,11 @@
     const std::string number = std::to_string(to->listener);
     for (std::size_t at = text.find('@'); at != std::string::npos; at = text.find('@', at))
       text.replace(at, 1, number);
-    *to->connection->out() += "id: " + std::to_string(told.number) + "\ndata: " + text + "\n\n";
+    *to->connection->write_queue() += "id: " + std::to_string(told.number) + "\ndata: " + text + "\n\n";
   }
   std::size_t OnData(Connection& connection, std::string_view data) override {
     if (data.find("\r\n\r\n") == std::string_view::npos) return 0;
-    *connection.out() += "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n";
+    *connection.write_queue() += "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n\n";
     long long from = 0;
     const std::size_t at = data.find("Last-Event-ID: ");
     if (at != std::string_view::npos) from = std::strtoll(data.data() + at + 15, nullptr, 10);
@@ -84,14 +84,14 @@
     Due();
     return data.size();
   }
-  void OnEnd(Connection& connection, Ending) override {
+  void OnClosed(Connection& connection, CloseReason) override {
     const Handle gone = connection.tag;
     loop_->DestroyLater(std::move(readers_[gone].connection));
     readers_.erase(gone);
   }
   void Beat() {
     for (auto& [tag, reader] : readers_) {
-      if (reader.asked && !silent_) *reader.connection->out() += ": still here\n\n";
+      if (reader.asked && !silent_) *reader.connection->write_queue() += ": still here\n\n";
     }
     loop_->After(kSecond, [this] { Beat(); });
   }
--- a/bench/standin/front.cpp
+++ b/bench/standin/front.cpp
@@ -104,13 +104,13 @@
     ways_[way].tested = false;
     ways_[way].since = loop_->Now();
   }
-  void OnUp(Connection& connection) override {
-    Writer(connection.out(), Type::kTest, 1 + connection.tag).Add(Cause::kTestFailed);
+  void OnConnected(Connection& connection) override {
+    Writer(connection.write_queue(), Type::kTest, 1 + connection.tag).Add(Cause::kTestFailed);
   }
-  void OnEnd(Connection& connection, Ending ending) override {
+  void OnClosed(Connection& connection, CloseReason ending) override {
     const std::size_t way = connection.tag;
     const bool was_tested = std::exchange(ways_[way].tested, false);
-    if (ending == Ending::kRefused && gone_[Manager(way)] == 0) gone_[Manager(way)] = loop_->Now();
+    if (ending == CloseReason::kRefused && gone_[Manager(way)] == 0) gone_[Manager(way)] = loop_->Now();
     if (was_tested)
       records_->Write(Who(way), "way_ended", {{"m", Named(Manager(way))}, {"how", How(ending)}});
     loop_->DestroyLater(std::move(ways_[way].connection));
@@ -121,12 +121,12 @@
     std::ranges::sort(broken);
     // A set-up that crosses a close in order is sent again; whether it can have crossed it is the judge's to
     // say.
-    const char* const word = ending == Ending::kClosed ? "crossed" : "broken";
+    const char* const word = ending == CloseReason::kClosed ? "crossed" : "broken";
     for (const TaskId id : broken) Over(id, word, {}, true);
     loop_->After(kDialAgain + static_cast<Time>(Draw(&random_) * 100 * kMs), [this, way] { Dial(way); });
   }
-  static const char* How(Ending ending) {
-    return ending == Ending::kClosed ? "closed" : ending == Ending::kReset ? "reset" : "stuck";
+  static const char* How(CloseReason ending) {
+    return ending == CloseReason::kClosed ? "closed" : ending == CloseReason::kReset ? "reset" : "stuck";
   }
 
   // --- Asking ---------------------------------------------------------------------------------------------
@@ -184,7 +184,7 @@
                      {"wait_ms", std::to_string(kind.wait_ms)},
                      {"try", std::to_string(asked.tries)}});
     {
-      Writer message(way.out(), Type::kSetUp, id);
+      Writer message(way.write_queue(), Type::kSetUp, id);
       message.Add(Code::kClass, kind.name).Add(Code::kWait, std::int64_t{kind.wait_ms});
       message.Add(Code::kTenant, asked.name[0] < '8' ? "shop-a" : "shop-b");
       if (asked.tries > 1) message.Add(Code::kRetry, "1");
@@ -199,7 +199,7 @@
     const std::size_t way = open_.at(id).way;
     Over(id, "gave_up", {}, false);
     if (ways_[way].connection != nullptr && ways_[way].connection->up())
-      Writer(ways_[way].connection->out(), Type::kRelease, id).Add(Cause::kEnded);
+      Writer(ways_[way].connection->write_queue(), Type::kRelease, id).Add(Cause::kEnded);
   }
   // Its outcome for this owner. Where it may be harmful to ask again, nobody does.
   void Over(TaskId id, const char* what, const std::string& figure, bool may_again, Time away = 0,
@@ -264,7 +264,7 @@
                       {Id(m.task),
                        {"figure", m.type == Type::kMove ? "move" : std::to_string(m.CauseOr(0))},
                        {"m", Named(Manager(way))}});
-      Writer(connection.out(), Type::kReleaseHeard, m.task);
+      Writer(connection.write_queue(), Type::kReleaseHeard, m.task);
       if (known) standing_.erase(stands);
     } else if (m.type == Type::kAnswer) {
       records_->Write(Who(way), "answer_again", {Id(m.task), {"m", Named(Manager(way))}});
@@ -315,7 +315,7 @@
     const std::size_t way = static_cast<std::size_t>(stands.owner * managers_ + stands.manager);
     records_->Write(Who(way), "hand", {Id(id), {"m", Named(stands.manager)}, {"uid", stands.uid}});
     const std::string name = protocol::TaskText(id);
-    Writer message(ways_[way].connection->out(), Type::kSetUp, id);
+    Writer message(ways_[way].connection->write_queue(), Type::kSetUp, id);
     message.Add(Code::kClass, kKinds[stands.kind].name).Add(Code::kWait, std::int64_t{3000});
     message.Add(Code::kTenant, name[0] < '8' ? "shop-a" : "shop-b").Add(Code::kName, name);
     message.Add(Code::kFigures, stands.figures + ";at:" + stands.uid);
--- a/bench/standin/nodes.cpp
+++ b/bench/standin/nodes.cpp
@@ -99,7 +99,8 @@
       connections_[last_] = std::move(connection);
       // A release may have been lost with the connection that it was sent on.
       std::erase_if(untold_, [this](const Untold& each) { return loop_->Now() - each.at > kUntold; });
-      for (const Untold& each : untold_) Writer(way->out(), Type::kRelease, each.id).Add(Cause::kEnded);
+      for (const Untold& each : untold_)
+        Writer(way->write_queue(), Type::kRelease, each.id).Add(Cause::kEnded);
     });
     port_ = ntohs(listener_->address().sin_port);
     records_->Write(name_, "boot", {{"uid", uid_}});
@@ -111,7 +112,7 @@
       return connection.open();
     });
   }
-  void OnEnd(Connection& connection, Ending) override {
+  void OnClosed(Connection& connection, CloseReason) override {
     const Handle gone = connection.tag;
     std::erase_if(tasks_, [&](auto& entry) {
       if (entry.second.way != gone || entry.second.stands) return false;
@@ -129,7 +130,9 @@
       std::snprintf(report, sizeof report, "x0:%.2f;x1:%.2f;queue:0",
                     ways_.cores - std::min(used, ways_.cores - 1),
                     ways_.memory - std::min(std::max(used, asked_memory_ * 0.6), ways_.memory - 4));
-      Writer(connection.out(), Type::kTestResult, m.task).Add(Cause::kTestPassed).Add(Code::kReport, report);
+      Writer(connection.write_queue(), Type::kTestResult, m.task)
+          .Add(Cause::kTestPassed)
+          .Add(Code::kReport, report);
       return;
     }
     if (m.type == Type::kRelease) {
@@ -139,7 +142,7 @@
       const bool stood = it->second.stands;
       Forget(m.task, it->second, stood ? "cut" : "given_up");
       tasks_.erase(it);
-      if (stood) Writer(connection.out(), Type::kRelease, m.task).Add(Cause::kCancelled);
+      if (stood) Writer(connection.write_queue(), Type::kRelease, m.task).Add(Cause::kCancelled);
       return;
     }
     if (m.type == Type::kSetUp) SetUp(connection, m);
@@ -164,7 +167,7 @@
                       asked_memory_ + memory > ways_.memory * ways_.memory_multiple;
     if (full || Draw(random_) < ways_.refuse) {
       records_->Write(name_, "refuse", {Id(id)});
-      Writer(connection.out(), Type::kRelease, id)
+      Writer(connection.write_queue(), Type::kRelease, id)
           .Add(Cause::kFull)
           .Add(Code::kNote, full ? "cpu_full" : "busy");
       return;
@@ -189,7 +192,7 @@
     records_->Write(name_, "answer", {Id(id), {"uid", uid_}});
     const std::string words =
         "u:" + std::to_string(loop_->Now()) + ":" + std::to_string(in_program) + ":" + uid_;
-    Writer(way->second->out(), Type::kAnswer, id).Add(Code::kDescription, words);
+    Writer(way->second->write_queue(), Type::kAnswer, id).Add(Code::kDescription, words);
     task.timer = loop_->After(life, [this, id] { End(id); });
   }
   void End(TaskId id) {
@@ -200,11 +203,11 @@
     // On the connection of the set-up, else on all that are open; and on the next in any case.
     untold_.push_back({id, loop_->Now()});
     if (const auto way = connections_.find(tag); way != connections_.end() && way->second->up()) {
-      Writer(way->second->out(), Type::kRelease, id).Add(Cause::kEnded);
+      Writer(way->second->write_queue(), Type::kRelease, id).Add(Cause::kEnded);
       return;
     }
     for (auto& [other, connection] : connections_) {
-      if (connection->up()) Writer(connection->out(), Type::kRelease, id).Add(Cause::kEnded);
+      if (connection->up()) Writer(connection->write_queue(), Type::kRelease, id).Add(Cause::kEnded);
     }
   }
   void Forget(TaskId id, const Task& task, const char* why) {
--- a/bench/standin/owners.cpp
+++ b/bench/standin/owners.cpp
@@ -95,7 +95,7 @@
     std::string words = "d:" + std::to_string(loop_->Now()) + ":";
     words.resize(std::max(bytes_, words.size()), '.');
     open_[id] = {};
-    Writer message(way->out(), Type::kSetUp, id);
+    Writer message(way->write_queue(), Type::kSetUp, id);
     message.Add(Code::kClass, rare    ? "settlement"
                               : keyed ? "card-worker"
                                       : "web-api")
@@ -113,7 +113,7 @@
       return connection.open();
     });
   }
-  void OnEnd(Connection&, Ending) override { std::fprintf(stderr, "owners: a connection ended\n"); }
+  void OnClosed(Connection&, CloseReason) override { std::fprintf(stderr, "owners: a connection ended\n"); }
   void Take(Connection& connection, const Message& m) {
     const auto it = open_.find(m.task);
     if (it == open_.end()) {
@@ -138,7 +138,7 @@
     if (m.type != Type::kRelease) return;
     if (it->second.answered) {
       ++ended_;
-      Writer(connection.out(), Type::kReleaseHeard, m.task);
+      Writer(connection.write_queue(), Type::kReleaseHeard, m.task);
     } else {
       const int cause = m.CauseOr(0);
       ++(cause == 34 || cause == 42 || cause == 102 ? refused_ : failed_);
--- a/bench/structures_bench.cpp
+++ b/bench/structures_bench.cpp
@@ -13,7 +13,7 @@
 #include "containers/block_pool.h"
 #include "containers/hash.h"
 #include "containers/ratio_index.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 
 namespace cluster_manager {
 namespace {
@@ -115,7 +115,7 @@
   for (int i = 0; i < state.range(0); ++i) wheel.Schedule(kSecond + random(10'000) * kMs, [] {});
   for (auto _ : state) {
     const Handle handle = wheel.Schedule(6 * kSecond + random(100) * kMs, [] {});
-    benchmark::DoNotOptimize(wheel.Next());
+    benchmark::DoNotOptimize(wheel.NextDeadline());
     wheel.Cancel(handle);
   }
 }
--- a/src/admin/admin.cpp
+++ b/src/admin/admin.cpp
@@ -10,21 +10,22 @@
 namespace cluster_manager {
 namespace {
 
+using admin::ErrorReply;
 using admin::Reply;
 using admin::Request;
-using admin::Say;
 
-constexpr Time kCallMost = 2 * kSecond;  // from connecting to a whole call
-// For the caller to read its answer: a close with unread input resets, which can destroy what was written.
+constexpr Time kCallTimeout = 2 * kSecond;  // from connecting to a complete call
+// For the caller to read its answer: closing with unread input sends a reset, which can destroy the answer.
 constexpr Time kLinger = 200 * kMs;
 
 }  // namespace
 
 Admin::Admin(EventLoop* loop, const sockaddr_in& address, OperatorCalls* operations)
     : loop_(loop), operations_(operations) {
-  // Guards against turns that are long: the call that came first in one is accepted, read and answered in it.
+  // With a high priority, so that a call is accepted, read and answered in the iteration of the loop in which
+  // it arrives, however long that takes.
   listener_.emplace(
-      loop, address, [this](int socket) { Accepted(socket); }, EV_MAXPRI);
+      loop, address, [this](int socket) { OnAccepted(socket); }, EV_MAXPRI);
   address_ = listener_->address();
 }
 
@@ -36,38 +37,38 @@
   listener_.reset();
   std::vector<Handle> idle;
   callers_.ForEach([&](Handle handle, const Caller& caller) {
-    if (!caller.request.begun() && !caller.connection->Unread()) idle.push_back(handle);
+    if (!caller.request.has_begun() && !caller.connection->HasUnreadBytes()) idle.push_back(handle);
   });
   for (const Handle handle : idle) Remove(handle);
 }
 
-void Admin::Accepted(int socket) {
+void Admin::OnAccepted(int socket) {
   ++counters.admin_connections;
   Caller caller;
   caller.connection = std::make_unique<Connection>(loop_, socket, this);
-  caller.number = ++last_;
+  caller.number = ++last_number_;
   const Handle handle = callers_.Insert(std::move(caller));
-  Caller* its = callers_.Get(handle);
-  its->connection->tag = handle;
-  its->connection->Prefer();
-  its->deadline = loop_->After(kCallMost, [this, handle] { Late(handle); });
-  if (callers_.size() > kMost) Prune();
+  Caller* inserted = callers_.Get(handle);
+  inserted->connection->tag = handle;
+  inserted->connection->SetHighPriority();
+  inserted->deadline = loop_->After(kCallTimeout, [this, handle] { OnCallTimeout(handle); });
+  if (callers_.size() > kMaxConnections) EvictOne();
 }
 
-// Guards against callers who come in numbers and say nothing: descriptors are scarce, and who has a call to
-// make must not wait for them. The oldest without a whole call goes first, then the oldest that was answered.
-// Nobody goes whose bytes have come and were not read yet, unless such callers are twice as many as the most.
-void Admin::Prune() {
+// Keeps many callers that send nothing from using up the descriptors, so that other callers need not wait for
+// them. Closes the oldest connection without a complete call, else the oldest answered one. A connection with
+// unread bytes is spared; if all have some and there are more than 2 * kMaxConnections, the newest is closed.
+void Admin::EvictOne() {
   Handle victim = 0, newest = 0;
-  std::pair<bool, std::uint64_t> least{true, last_ + 1};
+  std::pair<bool, std::uint64_t> lowest_order{true, last_number_ + 1};
   callers_.ForEach([&](Handle handle, const Caller& caller) {
-    if (caller.number == last_) newest = handle;
-    const std::pair<bool, std::uint64_t> its{caller.answered, caller.number};
-    if (caller.number == last_ || its >= least || caller.connection->Unread()) return;
-    least = its;
+    if (caller.number == last_number_) newest = handle;
+    const std::pair<bool, std::uint64_t> order{caller.answered, caller.number};
+    if (caller.number == last_number_ || order >= lowest_order || caller.connection->HasUnreadBytes()) return;
+    lowest_order = order;
     victim = handle;
   });
-  if (victim == 0 && callers_.size() <= 2 * kMost) return;
+  if (victim == 0 && callers_.size() <= 2 * kMaxConnections) return;
   ++counters.admin_pruned;
   Remove(victim != 0 ? victim : newest);
 }
@@ -76,21 +77,21 @@
   const Handle handle = connection.tag;
   Caller* caller = callers_.Get(handle);
   Request& request = caller->request;
-  switch (request.Read(data)) {
-    case Request::Step::kMore:
+  switch (request.Parse(data)) {
+    case Request::ParseResult::kIncomplete:
       break;
-    case Request::Step::kWhole:
+    case Request::ParseResult::kComplete:
       ++counters.admin_calls;
-      Answer(handle, admin::Carry(request.method(), request.target(), operations_));
+      Answer(handle, admin::HandleCall(request.method(), request.target(), operations_));
       break;
-    case Request::Step::kMalformed:
-      Answer(handle, Say(400, std::string("this is no HTTP/1.1 request: ") + request.problem()));
+    case Request::ParseResult::kMalformed:
+      Answer(handle, ErrorReply(400, std::string("malformed HTTP/1.1 request: ") + request.problem()));
       break;
-    case Request::Step::kHeadTooLong:
-      Answer(handle, Say(431, "the request line and the headers are over 8 KiB; send fewer headers"));
+    case Request::ParseResult::kHeadTooLong:
+      Answer(handle, ErrorReply(431, "the request line and the headers are over 8 KiB; send fewer headers"));
       break;
-    case Request::Step::kBodyTooLong:
-      Answer(handle, Say(413, "the body is over 8 KiB; no call here needs one"));
+    case Request::ParseResult::kBodyTooLong:
+      Answer(handle, ErrorReply(413, "the body is over 8 KiB; no call needs a body"));
       break;
   }
   return data.size();
@@ -100,16 +101,18 @@
   Caller* caller = callers_.Get(handle);
   if (caller == nullptr) return;
   if (reply.status != 200) ++counters.admin_refused;
-  *caller->connection->out() += admin::Written(reply, caller->request.method() == "HEAD");
+  *caller->connection->write_queue() += admin::FormatResponse(reply, caller->request.method() == "HEAD");
   caller->answered = true;
   loop_->Cancel(caller->deadline);
   caller->deadline = loop_->After(kLinger, [this, handle] { Remove(handle); });
-  caller->connection->Finish();  // which may find it reset, and remove it
+  caller->connection->ShutdownAfterFlush();  // may find the connection reset, and remove the caller
 }
 
-void Admin::Late(Handle handle) {
+void Admin::OnCallTimeout(Handle handle) {
   ++counters.admin_late;
-  Answer(handle, Say(408, "no whole call came within 2 s of connecting; send one as soon as you connect"));
+  Answer(handle, ErrorReply(408,
+                            "no complete request was received within 2 s of connecting; send it as soon as "
+                            "the connection is up"));
 }
 
 void Admin::Remove(Handle handle) {
@@ -120,7 +123,7 @@
   callers_.Erase(handle);
 }
 
-void Admin::OnEnd(Connection& connection, Ending) {
+void Admin::OnClosed(Connection& connection, CloseReason) {
   if (const Caller* caller = callers_.Get(connection.tag); caller != nullptr && !caller->answered) {
     ++counters.admin_left;
   }
--- a/src/admin/admin.h
+++ b/src/admin/admin.h
@@ -1,4 +1,5 @@
-// The operators' address: HTTP/1.1, one call on each connection, answered in the turn in which it is whole.
+// The admin API: HTTP/1.1 on an address for operators, one call on each connection, answered in the iteration
+// of the event loop in which the call is complete. Owned by ServerProcess; used on the event loop's thread.
 #pragma once
 
 #include <netinet/in.h>
@@ -8,7 +9,7 @@
 #include <string_view>
 
 #include "admin/calls.h"
-#include "admin/operations.h"
+#include "admin/operator_calls.h"
 #include "admin/request.h"
 #include "containers/slot_table.h"
 #include "net/connection.h"
@@ -18,9 +19,11 @@
 
 class Admin final : public Connection::Handler {
  public:
-  static constexpr std::size_t kMost = 32;  // connections, each a descriptor; the listener holds one more
+  // Connections that are kept while more arrive, each with a descriptor; the listener has one more.
+  static constexpr std::size_t kMaxConnections = 32;
 
-  // Throws std::runtime_error where the address cannot be listened on.
+  // `loop` and `operations` must outlive this object. Throws std::runtime_error where the address cannot be
+  // listened on.
   Admin(EventLoop* loop, const sockaddr_in& address, OperatorCalls* operations);
   ~Admin();
   Admin(const Admin&) = delete;
@@ -28,29 +31,30 @@
 
   sockaddr_in address() const { return address_; }
   std::size_t size() const { return callers_.size(); }  // connections
-  void Close();  // listens no more, ends what is idle; who has begun a call may end it
+  // Stops listening and closes idle connections. Calls that have begun to arrive are still answered.
+  void Close();
 
  private:
   struct Caller {
     std::unique_ptr<Connection> connection;
-    std::uint64_t number = 0;  // in order of coming
+    std::uint64_t number = 0;  // in the order of accepting
     admin::Request request;
     bool answered = false;
-    Handle deadline = 0;  // of its call, and then of its reading the answer
+    Handle deadline = 0;  // for the complete call, then for reading the answer
   };
 
-  void Accepted(int socket);
+  void OnAccepted(int socket);
   std::size_t OnData(Connection& connection, std::string_view data) override;
-  void OnEnd(Connection& connection, Ending ending) override;
+  void OnClosed(Connection& connection, CloseReason reason) override;
   void Answer(Handle handle, const admin::Reply& reply);
-  void Late(Handle handle);
-  void Prune();
+  void OnCallTimeout(Handle handle);
+  void EvictOne();
   void Remove(Handle handle);
 
   EventLoop* loop_;
   OperatorCalls* operations_;
   SlotTable<Caller> callers_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_number_ = 0;
   std::optional<Listener> listener_;
   sockaddr_in address_;
 };
--- a/src/admin/calls.cpp
+++ b/src/admin/calls.cpp
@@ -11,25 +11,25 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kLongestId = 256, kMostShown = 80;
-constexpr std::string_view kAgents = "/v1/agents/";
-constexpr const char* kRead = "GET, HEAD";
-constexpr const char* kWrite = "POST";
-constexpr const char* kKnown =
+constexpr std::size_t kMaxIdBytes = 256, kMaxQuotedBytes = 80;
+constexpr std::string_view kNodePathPrefix = "/v1/agents/";
+constexpr const char* kReadMethods = "GET, HEAD";
+constexpr const char* kWriteMethods = "POST";
+constexpr const char* kCallList =
     "the calls are GET /v1/readyz, GET /v1/metrics, POST /v1/agents/ID/suspend, POST /v1/agents/ID/resume, "
     "POST /v1/cluster-manager/drain and POST /v1/cluster-manager/activate";
 
-// What a caller sent may be no UTF-8: it is shown as far as it can be.
-std::string Text(const json& document) {
+// Text of a caller that is not UTF-8 is shown with replacement characters.
+std::string ToText(const json& document) {
   return document.dump(-1, ' ', true, json::error_handler_t::replace);
 }
 
-std::string Shown(std::string_view text) {
-  return "'" + std::string(text.substr(0, kMostShown)) + (text.size() > kMostShown ? "...'" : "'");
+std::string Quoted(std::string_view text) {
+  return "'" + std::string(text.substr(0, kMaxQuotedBytes)) + (text.size() > kMaxQuotedBytes ? "...'" : "'");
 }
 
-// "s%2D1" is "s-1"; nothing where a % is not followed by two hexadecimal digits.
-std::optional<std::string> Decoded(std::string_view text) {
+// Percent-decodes: "s%2D1" is "s-1". Nothing where a % is not followed by two hexadecimal digits.
+std::optional<std::string> PercentDecode(std::string_view text) {
   std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '%') {
@@ -47,7 +47,8 @@
   return decoded;
 }
 
-// The path of "/v1/x?y", and of "http://host/v1/x", as a caller through a proxy writes it.
+// The path of a request target, which may be "/v1/x?y", or "http://host/v1/x" where a proxy is used. Nothing
+// where the target is malformed.
 std::optional<std::string_view> PathOf(std::string_view method, std::string_view target) {
   http_parser_url url;
   http_parser_url_init(&url);
@@ -58,27 +59,31 @@
   return target.substr(url.field_data[UF_PATH].off, url.field_data[UF_PATH].len);
 }
 
-Reply WrongMethod(std::string_view method, std::string_view path, const char* allow) {
-  Reply reply = Say(405, std::string(method) + " is no method of " + Shown(path) + "; use " + allow);
+Reply MethodNotAllowed(std::string_view method, std::string_view path, const char* allow) {
+  Reply reply =
+      ErrorReply(405, std::string(method) + " is not allowed for " + Quoted(path) + "; use " + allow);
   reply.allow = allow;
   return reply;
 }
 
-Reply CarryAgent(std::string_view written, bool suspend, OperatorCalls* operations) {
-  const std::optional<std::string> id = Decoded(written);
-  if (!id) return Say(400, "in the id " + Shown(written) + " a % is followed by no two hexadecimal digits");
-  if (id->empty()) return Say(400, "the agent's id is empty; write it between /v1/agents/ and the call");
-  if (id->size() > kLongestId) {
-    return Say(400, "the agent's id has " + std::to_string(id->size()) + " bytes; write at most " +
-                        std::to_string(kLongestId));
+Reply HandleNodeCall(std::string_view encoded_id, bool suspend, OperatorCalls* operations) {
+  const std::optional<std::string> id = PercentDecode(encoded_id);
+  if (!id)
+    return ErrorReply(
+        400, "the id " + Quoted(encoded_id) + " holds a % that is not followed by two hexadecimal digits");
+  if (id->empty())
+    return ErrorReply(400, "the agent's id is empty; write it between /v1/agents/ and the call");
+  if (id->size() > kMaxIdBytes) {
+    return ErrorReply(400, "the agent's id has " + std::to_string(id->size()) + " bytes; write at most " +
+                               std::to_string(kMaxIdBytes));
   }
   if (suspend ? operations->Suspend(*id) : operations->Resume(*id)) {
-    return {200, Text({{"agent", *id}, {"suspended", suspend}}), nullptr};
+    return {200, ToText({{"agent", *id}, {"suspended", suspend}}), nullptr};
   }
-  return Say(404, "no agent has the id '" + *id + "'; GET /v1/metrics shows how many are listed");
+  return ErrorReply(404, "no agent has the id '" + *id + "'; GET /v1/metrics shows how many are listed");
 }
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -101,55 +106,58 @@
 
 }  // namespace
 
-Reply Say(int status, std::string_view problem) {
-  return {status, Text({{"error", std::string(problem)}}), nullptr};
+Reply ErrorReply(int status, std::string_view problem) {
+  return {status, ToText({{"error", std::string(problem)}}), nullptr};
 }
 
-Reply Carry(std::string_view method, std::string_view target, OperatorCalls* operations) {
+Reply HandleCall(std::string_view method, std::string_view target, OperatorCalls* operations) {
   const std::optional<std::string_view> path = PathOf(method, target);
   if (!path)
-    return Say(400, "the target " + Shown(target) + " cannot be read; write a path such as /v1/readyz");
-  const bool reads = method == "GET" || method == "HEAD", writes = method == "POST";
+    return ErrorReply(400, "the target " + Quoted(target) + " is malformed; write a path such as /v1/readyz");
+  const bool is_read = method == "GET" || method == "HEAD", is_write = method == "POST";
   if (*path == "/v1/readyz") {
-    if (!reads) return WrongMethod(method, *path, kRead);
+    if (!is_read) return MethodNotAllowed(method, *path, kReadMethods);
     const bool ready = operations->Ready();
-    return {ready ? 200 : 503, Text({{"ready", ready}}), nullptr};
+    return {ready ? 200 : 503, ToText({{"ready", ready}}), nullptr};
   }
   if (*path == "/v1/metrics") {
-    if (!reads) return WrongMethod(method, *path, kRead);
+    if (!is_read) return MethodNotAllowed(method, *path, kReadMethods);
     return {200, operations->Metrics(), nullptr};
   }
   if (*path == "/v1/cluster-manager/drain" || *path == "/v1/cluster-manager/activate") {
-    if (!writes) return WrongMethod(method, *path, kWrite);
+    if (!is_write) return MethodNotAllowed(method, *path, kWriteMethods);
     const bool drain = path->ends_with("drain");
     if (drain) {
       operations->Drain();
     } else if (!operations->Activate()) {
-      return Say(503, "this process is stopping, since SIGTERM, and serves nobody new; call the next one");
+      return ErrorReply(503,
+                        "this process is stopping since SIGTERM and cannot be activated; call the process "
+                        "that replaces it");
     }
-    return {200, Text({{"draining", drain}}), nullptr};
+    return {200, ToText({{"draining", drain}}), nullptr};
   }
   const std::size_t slash = path->rfind('/');
-  if (path->starts_with(kAgents) && slash != std::string_view::npos && slash >= kAgents.size()) {
-    const std::string_view id = path->substr(kAgents.size(), slash - kAgents.size());
+  if (path->starts_with(kNodePathPrefix) && slash != std::string_view::npos &&
+      slash >= kNodePathPrefix.size()) {
+    const std::string_view id = path->substr(kNodePathPrefix.size(), slash - kNodePathPrefix.size());
     const std::string_view call = path->substr(slash + 1);
     if ((call == "suspend" || call == "resume") && id.find('/') == std::string_view::npos) {
-      if (!writes) return WrongMethod(method, *path, kWrite);
-      return CarryAgent(id, call == "suspend", operations);
+      if (!is_write) return MethodNotAllowed(method, *path, kWriteMethods);
+      return HandleNodeCall(id, call == "suspend", operations);
     }
   }
-  return Say(404, Shown(*path) + " is no path here; " + kKnown);
+  return ErrorReply(404, Quoted(*path) + " is no path here; " + kCallList);
 }
 
-std::string Written(const Reply& reply, bool without_body) {
-  std::string out =
-      "HTTP/1.1 " + std::to_string(reply.status) + " " + Reason(reply.status) +
+std::string FormatResponse(const Reply& reply, bool without_body) {
+  std::string response =
+      "HTTP/1.1 " + std::to_string(reply.status) + " " + ReasonPhrase(reply.status) +
       "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(reply.body.size()) +
       "\r\nConnection: close\r\n";
-  if (reply.allow != nullptr) out.append("Allow: ").append(reply.allow).append("\r\n");
-  out += "\r\n";
-  if (!without_body) out += reply.body;
-  return out;
+  if (reply.allow != nullptr) response.append("Allow: ").append(reply.allow).append("\r\n");
+  response += "\r\n";
+  if (!without_body) response += reply.body;
+  return response;
 }
 
 }  // namespace cluster_manager::admin
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -177,7 +177,7 @@
   return kDone;
 }
 
-int ServeOrSay(const Files& files) {
+int ServeOrSay(const ServerFiles& files) {
   try {
     return Serve(files);
   } catch (const std::exception& error) {
@@ -193,14 +193,15 @@
   std::vector<std::string> paths;
   bool write = false;
   bool check_only = false;
-  Files files;
+  ServerFiles files;
   SitesCall sites;
   int exit = kDone;
 };
 
 void AddServe(CLI::App* app, Options* options) {
   CLI::App* serve = app->add_subcommand("serve", "serve, as without a command");
-  serve->add_option("--sites", options->files.sites, "the plan for the loss of sites, as deploy/sites.json");
+  serve->add_option("--sites", options->files.zone_failover_plan,
+                    "the plan for the loss of sites, as deploy/sites.json");
   serve->callback([options] { options->exit = ServeOrSay(options->files); });
 }
 
--- a/src/clients/client_admission.cpp
+++ b/src/clients/client_admission.cpp
@@ -22,7 +22,7 @@
 void ClientFrontend::EvictConnection() {
   ++counters.client_evictions;
   const Handle victim = FindEvictionVictim();
-  connections_.Get(victim)->transport->Finish();
+  connections_.Get(victim)->transport->ShutdownAfterFlush();
   Remove(victim);
 }
 
--- a/src/clients/client_completions.cpp
+++ b/src/clients/client_completions.cpp
@@ -61,7 +61,7 @@
   const bool confirming = client->confirms_completions || !client->IsServed();
   const Type type = static_cast<Type>(completion.message_type);
   {
-    Writer message(transport.out(), type, completion.task);
+    Writer message(transport.write_queue(), type, completion.task);
     if (type == Type::kRelease) message.Add(static_cast<Cause>(completion.cause));
   }
   completions_.MarkSent(completion.task, transport.tag, confirming, loop_->Now(),
@@ -75,7 +75,7 @@
   const ClientConnection* client = connections_.Get(completion.connection);
   if (client == nullptr) return Delivery::kQueued;
   const Connection& transport = *client->transport;
-  if (transport.LookAhead() == Incoming::kEnd) return Delivery::kQueued;
+  if (transport.PeekInput() == InputState::kEnd) return Delivery::kQueued;
   if (transport.HasDelivered(completion.stream_position)) return Delivery::kAcknowledged;
   return transport.HasSent(completion.stream_position) ? Delivery::kInFlight : Delivery::kQueued;
 }
--- a/src/clients/client_connection.cpp
+++ b/src/clients/client_connection.cpp
@@ -54,7 +54,7 @@
 
 bool ClientConnection::HasTimedOut(Time now) const {
   const Time connected = now - connected_at;
-  const Time unfinished_since = transport->unfinished_since;
+  const Time unfinished_since = transport->incomplete_message_since;
   const bool in_message = unfinished_since > 0;
   // Where the client reads slowly, this process stops reading from it: then the rest of the message may be
   // held up here.
@@ -71,19 +71,20 @@
     return false;
   }
   if (std::exchange(close_postponed_, true)) return true;
-  return !transport->Unread();
+  return !transport->HasUnreadBytes();
 }
 
 bool ClientConnection::IsQuiet(Time now) const {
-  if (!unanswered_requests.empty() || transport->unfinished_since > 0 || !transport->flushed()) return false;
+  if (!unanswered_requests.empty() || transport->incomplete_message_since > 0 || !transport->flushed())
+    return false;
   const Time limit = HasSentValidRequest() ? kQuietTime : kQuietTimeBeforeRequest;
-  return now - transport->last_traffic >= limit && !transport->Unread();
+  return now - transport->last_traffic >= limit && !transport->HasUnreadBytes();
 }
 
 std::pair<EvictionPriority, Time> ClientConnection::EvictionRank(Time now) const {
   if (IsClosing()) return {EvictionPriority::kClosing, closing_since_};
   if (!unanswered_requests.empty()) return {EvictionPriority::kUnansweredRequests, transport->last_traffic};
-  if (transport->unfinished_since > 0 || !transport->flushed())
+  if (transport->incomplete_message_since > 0 || !transport->flushed())
     return {EvictionPriority::kBusyTransfer, connected_at};
   if (!HasSentValidRequest()) {
     const bool fresh = now - connected_at < kFirstMessageGrace;
--- a/src/clients/client_frontend.cpp
+++ b/src/clients/client_frontend.cpp
@@ -48,9 +48,9 @@
 // Asks the kernel once per connection and turn of the loop only, as many connections may be accepted in one
 // turn: input found unread stays unread until a later turn.
 bool ClientFrontend::HasUnreadInput(ClientConnection* client) {
-  if (client->unread_in_turn == loop_->turn()) return true;
-  if (!client->transport->Unread()) return false;
-  client->unread_in_turn = loop_->turn();
+  if (client->unread_in_turn == loop_->iteration()) return true;
+  if (!client->transport->HasUnreadBytes()) return false;
+  client->unread_in_turn = loop_->iteration();
   return true;
 }
 
@@ -61,7 +61,7 @@
   connections_.ForEach([&](Handle handle, ClientConnection& client) {
     // Input is not read while the client does not read its output: notice here that it has disconnected.
     Connection& transport = *client.transport;
-    if (transport.paused() && transport.LookAhead() == Incoming::kEnd) transport.ReadToEnd();
+    if (transport.IsReadingPaused() && transport.PeekInput() == InputState::kEnd) transport.ReadToEnd();
     if (client.HasFinishedClosing(now)) closed.push_back(handle);
     if (!client.IsClosing() && client.ShouldClose(now)) timed_out.push_back(handle);
   });
@@ -78,13 +78,13 @@
 
 // Answers that are queued still reach the client; its unanswered requests are abandoned. A release of a
 // running task that crosses the close is still read.
-void ClientFrontend::CloseGracefully(Handle handle, Connection::Rest rest) {
+void ClientFrontend::CloseGracefully(Handle handle, Connection::InputMode rest) {
   ClientConnection* client = connections_.Get(handle);
   if (client == nullptr || client->IsClosing()) return;
   ++counters.client_closed_gracefully;
   client->OnClose(loop_->Now());
   const std::vector<TaskId> unanswered = std::exchange(client->unanswered_requests, {});
-  client->transport->Finish(rest);
+  client->transport->ShutdownAfterFlush(rest);
   for (const TaskId id : unanswered) events_->OnClientDisconnected(id, handle);
 }
 
@@ -111,17 +111,17 @@
   bool malformed = false;
   const std::size_t taken = protocol::DecodeAll(data, &malformed, [&](const Message& message) {
     malformed = !HandleMessage(transport, message);
-    return !malformed && transport.open() && transport.reads();
+    return !malformed && transport.open() && transport.IsReading();
   });
   if (malformed && transport.open()) {
     ++counters.malformed;
     Log("a client's message is malformed, closing its connection");
-    CloseGracefully(transport.tag, Connection::Rest::kReadNoMore);
+    CloseGracefully(transport.tag, Connection::InputMode::kStopReading);
   }
   return taken;
 }
 
-void ClientFrontend::OnEnd(Connection& transport, Ending) { Remove(transport.tag); }
+void ClientFrontend::OnClosed(Connection& transport, CloseReason) { Remove(transport.tag); }
 
 // Where no client is connected, pending completions cannot be sent and do not count. A client that has just
 // connected is waited for, as its first message is on its way.
@@ -131,13 +131,13 @@
   bool any_connected = false;
   connections_.ForEach([&](Handle, const ClientConnection& client) {
     const Connection& transport = *client.transport;
-    quiescent = quiescent && transport.flushed() && !transport.BackedUp();
+    quiescent = quiescent && transport.flushed() && !transport.HasUnsentBytes();
     if (client.IsClosing()) return;
     any_connected = true;
     const bool first_message_due =
         !client.HasSentValidRequest() && now - client.connected_at < kFirstMessageGrace;
-    const bool in_message = transport.unfinished_since > 0;
-    quiescent = quiescent && !first_message_due && !in_message && !transport.Unread();
+    const bool in_message = transport.incomplete_message_since > 0;
+    quiescent = quiescent && !first_message_due && !in_message && !transport.HasUnreadBytes();
   });
   return quiescent && (completions_.pending() == 0 || !any_connected);
 }
--- a/src/clients/client_frontend.h
+++ b/src/clients/client_frontend.h
@@ -79,9 +79,9 @@
   // --- Connections
   void OnAccepted(int socket);
   std::size_t OnData(Connection& transport, std::string_view data) override;
-  void OnEnd(Connection& transport, Ending ending) override;
+  void OnClosed(Connection& transport, CloseReason ending) override;
   void CheckTimeouts();
-  void CloseGracefully(Handle handle, Connection::Rest rest = Connection::Rest::kReadOn);
+  void CloseGracefully(Handle handle, Connection::InputMode rest = Connection::InputMode::kContinueReading);
   void Remove(Handle handle);
   bool HasUnreadInput(ClientConnection* client);
 
--- a/src/clients/client_messages.cpp
+++ b/src/clients/client_messages.cpp
@@ -58,7 +58,8 @@
 void ClientFrontend::HandleHealthCheck(Connection& transport, TaskId id) {
   ++counters.client_health_checks_answered;
   const bool passed = accept_mode_ == AcceptMode::kOpen || accept_mode_ == AcceptMode::kHandingOver;
-  Writer(transport.out(), Type::kTestResult, id).Add(passed ? Cause::kTestPassed : Cause::kTestFailed);
+  Writer(transport.write_queue(), Type::kTestResult, id)
+      .Add(passed ? Cause::kTestPassed : Cause::kTestFailed);
   connections_.Get(transport.tag)->OnValidRequest();
 }
 
@@ -76,7 +77,7 @@
       return true;
     case RequestResult::kRejected:
       ++counters.requests_refused_as_duplicate;
-      Writer(transport.out(), Type::kRelease, message.task).Add(Cause::kError);
+      Writer(transport.write_queue(), Type::kRelease, message.task).Add(Cause::kError);
       return true;
     case RequestResult::kProtocolError:
       return false;
--- a/src/clients/client_replies.cpp
+++ b/src/clients/client_replies.cpp
@@ -32,14 +32,14 @@
   ClientConnection* client = connections_.Get(client_connection);
   if (client == nullptr || client->IsClosing()) return false;  // its requests are being abandoned
   Connection& transport = *client->transport;
-  switch (transport.LookAhead()) {
-    case Incoming::kNothing:
+  switch (transport.PeekInput()) {
+    case InputState::kNone:
       return true;
-    case Incoming::kBytes:
+    case InputState::kBytes:
       // Only what has come by the first call is waited for: a client may never stop sending.
       if (*read_by == 0) *read_by = transport.bytes_read() + transport.UnreadBytes();
       return transport.bytes_read() >= *read_by;
-    case Incoming::kEnd:
+    case InputState::kEnd:
       transport.ReadToEnd();  // also where reading is paused, so that the end is noticed
       return false;
   }
@@ -50,7 +50,7 @@
   Connection* transport = TakeReplyConnection(client_connection, id);
   if (transport == nullptr) return;
   ++counters.acceptances_sent;
-  Writer(transport->out(), Type::kAnswer, id).Add(Code::kDescription, description);
+  Writer(transport->write_queue(), Type::kAnswer, id).Add(Code::kDescription, description);
   MarkServed(connections_.Get(client_connection));
 }
 
@@ -58,7 +58,7 @@
   Connection* transport = TakeReplyConnection(client_connection, id);
   if (transport == nullptr) return;
   ++counters.rejections_sent;
-  Writer message(transport->out(), Type::kRelease, id);
+  Writer message(transport->write_queue(), Type::kRelease, id);
   message.Add(Cause::kRefused);
   if (stay_away > 0) message.Add(Code::kStayAway, (stay_away + kMs - 1) / kMs);
 }
@@ -68,7 +68,7 @@
   if (transport == nullptr) return;
   ++counters.failures_sent;
   const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kReset;
-  Writer(transport->out(), Type::kRelease, id).Add(cause);
+  Writer(transport->write_queue(), Type::kRelease, id).Add(cause);
 }
 
 }  // namespace cluster_manager
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/log.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 #include "scheduling/scheduler.h"
 
 namespace cluster_manager {
--- a/src/dispatch/ports.h
+++ b/src/dispatch/ports.h
@@ -17,7 +17,7 @@
 
 #include "containers/block_pool.h"
 #include "containers/slot_table.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 #include "scheduling/scheduler.h"
 
 namespace cluster_manager {
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// A text that is valid JSON but no handover.
+// The error of a text that is valid JSON but not a valid handover.
 class HandoverFormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -36,7 +36,7 @@
     unsigned value = 0;
     const char* end = hex.data() + i + 2;
     const auto [stop, error] = std::from_chars(hex.data() + i, end, value, 16);
-    if (error != std::errc() || stop != end) throw HandoverFormatError("no hexadecimal digits");
+    if (error != std::errc() || stop != end) throw HandoverFormatError("not a hexadecimal digit");
     bytes += static_cast<char>(value);
   }
   return bytes;
@@ -55,7 +55,7 @@
           {"class_end", task.class_end}};
 }
 
-// Throws HandoverFormatError or a json exception.
+// Throws HandoverFormatError or json::exception.
 HandedOverTask ParseTask(const json& fields) {
   HandedOverTask task;
   task.id = fields.at("id");
@@ -73,11 +73,10 @@
 }
 
 json FormatCompletion(const HandedOverCompletion& completion) {
-  return {
-      {"id", completion.id}, {"node", completion.node}, {"ended", completion.over == TaskEnd::kCompleted}};
+  return {{"id", completion.id}, {"node", completion.node}, {"ended", completion.end == TaskEnd::kCompleted}};
 }
 
-// Throws a json exception.
+// Throws json::exception.
 HandedOverCompletion ParseCompletion(const json& fields) {
   const bool completed = fields.at("ended").get<bool>();
   return {fields.at("id"), fields.at("node"), completed ? TaskEnd::kCompleted : TaskEnd::kAborted};
@@ -88,7 +87,7 @@
 std::string FormatHandover(const Handover& handover) {
   json document = {{"tasks", json::array()}, {"ends", json::array()}};
   for (const HandedOverTask& task : handover.tasks) document["tasks"].push_back(FormatTask(task));
-  for (const HandedOverCompletion& completion : handover.ends)
+  for (const HandedOverCompletion& completion : handover.completions)
     document["ends"].push_back(FormatCompletion(completion));
   return document.dump() + "\n";
 }
@@ -98,7 +97,8 @@
   try {
     const json document = json::parse(text);
     for (const json& task : document.at("tasks")) handover.tasks.push_back(ParseTask(task));
-    for (const json& completion : document.at("ends")) handover.ends.push_back(ParseCompletion(completion));
+    for (const json& completion : document.at("ends"))
+      handover.completions.push_back(ParseCompletion(completion));
   } catch (const json::exception&) {
     return {};
   } catch (const HandoverFormatError&) {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -17,12 +17,13 @@
 namespace cluster_manager {
 namespace {
 
-constexpr std::size_t kWriteMost = 1024 * 1024;
-// Guards against a peer that asks without end and is slow to read: it is not heard until it has read.
-constexpr std::size_t kWriteBackedUp = 128 * 1024;
-constexpr std::size_t kMostPieces = 64;  // of one gathered write
-// What came so shortly after the loop asked is not looked for: a client that has gone is heard of in time.
-constexpr Time kFreshPoll = 20 * kMs;
+constexpr std::size_t kMaxQueuedBytes = 1024 * 1024;
+// A peer that sends requests without reading the answers is not read from while this much is queued for it.
+constexpr std::size_t kReadPauseBytes = 128 * 1024;
+constexpr std::size_t kMaxWriteParts = 64;  // of one gathered write
+// For this long after the loop polled, a socket that was not reported is taken to be empty without a system
+// call: the close of a client that arrives later is noticed soon enough.
+constexpr Time kRecentPoll = 20 * kMs;
 
 }  // namespace
 
@@ -56,8 +57,8 @@
     dial_error_ = errno;
     Start(-1, 0);
   } else {
-    const int failed = sys::Connect(socket, reinterpret_cast<const sockaddr*>(&to), sizeof to);
-    if (failed != 0 && errno != EINPROGRESS) dial_error_ = errno;
+    const int result = sys::Connect(socket, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+    if (result != 0 && errno != EINPROGRESS) dial_error_ = errno;
     Start(socket, EV_WRITE);
   }
   if (dial_error_ != 0) loop_->InjectEvent(&io_, EV_WRITE);
@@ -67,153 +68,154 @@
   socket_ = socket;
   last_traffic = loop_->Now();
   ev_io_init(
-      &io_, [](struct ev_loop*, ev_io* w, int got) { static_cast<Connection*>(w->data)->OnEvent(got); },
+      &io_,
+      [](struct ev_loop*, ev_io* w, int received) { static_cast<Connection*>(w->data)->OnEvent(received); },
       socket_, events);
   io_.data = this;
   if (socket_ < 0) return;
   sys::SetOption(socket_, IPPROTO_TCP, TCP_NODELAY, 1);
-  looks_behind_ = sys::SetOption(socket_, IPPROTO_TCP, TCP_INQ, 1) == 0;
+  reports_remaining_ = sys::SetOption(socket_, IPPROTO_TCP, TCP_INQ, 1) == 0;
   ev_io_start(loop_->raw(), &io_);
 }
 
-void Connection::Prefer() {
+void Connection::SetHighPriority() {
   ev_io_stop(loop_->raw(), &io_);
   ev_set_priority(&io_, EV_MAXPRI);
   ev_io_start(loop_->raw(), &io_);
   loop_->InjectEvent(&io_, EV_READ);
 }
 
-std::string* Connection::out() {
-  if (!flush_marked_) loop_->FlushSoon(this);
-  flush_marked_ = true;
+std::string* Connection::write_queue() {
+  if (!flush_scheduled_) loop_->ScheduleFlush(this);
+  flush_scheduled_ = true;
   last_traffic = loop_->Now();
-  loop_->TakeBuffer(&out_);
-  return &out_;
+  loop_->AcquireBuffer(&queue_);
+  return &queue_;
 }
 
-void Connection::Refer(const BlockPool::Ref& block, std::size_t from, std::size_t to) {
+void Connection::AppendBlock(const BlockPool::Ref& block, std::size_t from, std::size_t to) {
   if (from == to) return;
-  pieces_.push_back({out()->size(), block, from, to});
-  referred_ += to - from;
+  slices_.push_back({write_queue()->size(), block, from, to});
+  queued_block_bytes_ += to - from;
 }
 
-// Bytes of the queue and the pieces between them, as one write.
-ssize_t Connection::WriteSome() {
-  if (first_piece_ == pieces_.size())
-    return sys::Send(socket_, out_.data() + written_, out_.size() - written_);
-  std::array<iovec, kMostPieces> parts;
+// Writes bytes of the queue and the block slices between them in one system call.
+ssize_t Connection::WriteOnce() {
+  if (first_slice_ == slices_.size())
+    return sys::Send(socket_, queue_.data() + written_, queue_.size() - written_);
+  std::array<iovec, kMaxWriteParts> parts;
   std::size_t count = 0, at = written_;
-  for (std::size_t i = first_piece_; count + 2 < parts.size() && i <= pieces_.size(); ++i) {
-    const std::size_t until = i < pieces_.size() ? pieces_[i].at : out_.size();
-    if (at < until) parts[count++] = {out_.data() + at, until - at};
+  for (std::size_t i = first_slice_; count + 2 < parts.size() && i <= slices_.size(); ++i) {
+    const std::size_t until = i < slices_.size() ? slices_[i].at : queue_.size();
+    if (at < until) parts[count++] = {queue_.data() + at, until - at};
     at = until;
-    if (i == pieces_.size()) break;
-    const Piece& piece = pieces_[i];
-    parts[count++] = {piece.block.data() + piece.from, piece.to - piece.from};
+    if (i == slices_.size()) break;
+    const BlockSlice& slice = slices_[i];
+    parts[count++] = {slice.block.data() + slice.from, slice.to - slice.from};
   }
-  return sys::Gather(socket_, parts.data(), count);
+  return sys::SendVector(socket_, parts.data(), count);
 }
 
-// A write may end anywhere, also in the middle of a piece.
-void Connection::Written(std::size_t bytes) {
+// Removes written bytes from the queue. A write may end anywhere, also in the middle of a slice.
+void Connection::AdvanceQueue(std::size_t bytes) {
   bytes_sent_ += bytes;
   while (bytes > 0) {
-    const std::size_t until = first_piece_ < pieces_.size() ? pieces_[first_piece_].at : out_.size();
-    const std::size_t own = std::min(bytes, until - written_);
-    written_ += own;
-    bytes -= own;
+    const std::size_t until = first_slice_ < slices_.size() ? slices_[first_slice_].at : queue_.size();
+    const std::size_t queue_bytes = std::min(bytes, until - written_);
+    written_ += queue_bytes;
+    bytes -= queue_bytes;
     if (bytes == 0) return;
-    Piece& piece = pieces_[first_piece_];
-    const std::size_t its = std::min(bytes, piece.to - piece.from);
-    piece.from += its;
-    referred_ -= its;
-    bytes -= its;
-    if (piece.from < piece.to) return;
-    piece.block = {};
-    ++first_piece_;
+    BlockSlice& slice = slices_[first_slice_];
+    const std::size_t slice_bytes = std::min(bytes, slice.to - slice.from);
+    slice.from += slice_bytes;
+    queued_block_bytes_ -= slice_bytes;
+    bytes -= slice_bytes;
+    if (slice.from < slice.to) return;
+    slice.block = {};
+    ++first_slice_;
   }
 }
 
 void Connection::Flush() {
-  flush_marked_ = false;
-  if (broken_) DropQueue();
+  flush_scheduled_ = false;
+  if (broken_) ClearQueue();
   if (!up()) return;
   while (!flushed()) {
-    const ssize_t sent = WriteSome();
+    const ssize_t sent = WriteOnce();
     if (sent < 0 && errno == EINTR) continue;
     if (sent < 0 && errno != EAGAIN && errno != EWOULDBLOCK) {
-      WriteFailed();
+      OnWriteError();
       return;
     }
     if (sent < 0) break;
-    Written(static_cast<std::size_t>(sent));
-    if ((io_.events & EV_WRITE) != 0) last_traffic = loop_->Now();  // it is read, if slowly
+    AdvanceQueue(static_cast<std::size_t>(sent));
+    if ((io_.events & EV_WRITE) != 0) last_traffic = loop_->Now();  // the peer reads, slowly
   }
   if (flushed()) {
-    loop_->GiveBuffer(&out_);
-    pieces_.clear();
-    written_ = first_piece_ = 0;
-    if (finishing_ && !std::exchange(shut_, true)) sys::Shutdown(socket_, SHUT_WR);
-  } else if (pending() > kWriteMost) {  // the other side reads nothing: bounded memory
+    loop_->ReleaseBuffer(&queue_);
+    slices_.clear();
+    written_ = first_slice_ = 0;
+    if (shutting_down_ && !std::exchange(write_side_shut_, true)) sys::Shutdown(socket_, SHUT_WR);
+  } else if (pending() > kMaxQueuedBytes) {  // the peer reads nothing: bounds the memory
     ++counters.stuck_writes;
-    End(Ending::kStuck);
+    CloseAndNotify(CloseReason::kOverflow);
     return;
   }
-  Watch();
+  UpdateWatcher();
 }
 
-void Connection::Finish(Rest rest) {
-  if (!up() || finishing_) return;
-  finishing_ = true;
-  reads_on_ = rest == Rest::kReadOn;
+void Connection::ShutdownAfterFlush(InputMode input_mode) {
+  if (!up() || shutting_down_) return;
+  shutting_down_ = true;
+  reads_after_shutdown_ = input_mode == InputMode::kContinueReading;
   Flush();
 }
 
-// Guards against words that cross a reset: an answer, a refusal or a release that came before it would be
-// lost if the connection ended with the write that met the reset.
-void Connection::WriteFailed() {
-  const bool gone = errno == EPIPE || errno == ECONNRESET;
-  if (!gone || !reads()) {  // nothing more is read, or would tell the end
-    End(Ending::kReset);
+// Messages that the peer sent before it reset the connection may still be unread. They would be lost if the
+// connection were closed at the failed write, so they are read first.
+void Connection::OnWriteError() {
+  const bool reset_by_peer = errno == EPIPE || errno == ECONNRESET;
+  if (!reset_by_peer || !IsReading()) {  // no read would report the end of the connection
+    CloseAndNotify(CloseReason::kReset);
     return;
   }
   ++counters.writes_failed;
   broken_ = true;
-  DropQueue();
-  Watch();
+  ClearQueue();
+  UpdateWatcher();
 }
 
-void Connection::DropQueue() {
-  out_.clear();
-  loop_->GiveBuffer(&out_);
-  pieces_.clear();  // what they refer to is not held by a connection that writes no more
-  written_ = first_piece_ = referred_ = 0;
+void Connection::ClearQueue() {
+  queue_.clear();
+  loop_->ReleaseBuffer(&queue_);
+  slices_.clear();  // releases the blocks
+  written_ = first_slice_ = queued_block_bytes_ = 0;
 }
 
 std::size_t Connection::UnreadBytes() const {
   int bytes = 0;
-  return open() && sys::Unread(socket_, &bytes) == 0 && bytes > 0 ? static_cast<std::size_t>(bytes) : 0;
+  return open() && sys::UnreadBytes(socket_, &bytes) == 0 && bytes > 0 ? static_cast<std::size_t>(bytes) : 0;
 }
 
-Incoming Connection::LookAhead() const {
-  if (!open() || broken_) return Incoming::kEnd;
+InputState Connection::PeekInput() const {
+  if (!open() || broken_) return InputState::kEnd;
   const bool watched = (io_.events & EV_READ) != 0;
-  const bool fresh = loop_->Now() - loop_->polled_at() < kFreshPoll;
-  if (watched && fresh && !left_unread_ && !ev_is_pending(&io_)) return Incoming::kNothing;
-  const short found = sys::Poll(socket_, POLLIN | POLLRDHUP);
-  if ((found & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return Incoming::kEnd;
-  return (found & POLLIN) != 0 ? Incoming::kBytes : Incoming::kNothing;
+  const bool polled_recently = loop_->Now() - loop_->polled_at() < kRecentPoll;
+  if (watched && polled_recently && !left_unread_ && !ev_is_pending(&io_)) return InputState::kNone;
+  const short ready = sys::Poll(socket_, POLLIN | POLLRDHUP);
+  if ((ready & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return InputState::kEnd;
+  return (ready & POLLIN) != 0 ? InputState::kBytes : InputState::kNone;
 }
 
 void Connection::ReadToEnd() {
-  if (!open() || !reads()) return;
+  if (!open() || !IsReading()) return;
   reads_to_end_ = true;
-  Watch();
+  UpdateWatcher();
 }
 
 bool Connection::HasSent(std::uint64_t position) const {
   int unsent = 0;
-  if (!up() || sys::Unsent(socket_, &unsent) != 0) return false;
+  if (!up() || sys::UnsentBytes(socket_, &unsent) != 0) return false;
   return position + static_cast<std::uint64_t>(unsent) <= bytes_sent_;
 }
 
@@ -221,21 +223,21 @@
   if (!up()) return false;
   if (position <= bytes_delivered_) return true;
   int unacknowledged = 0;
-  if (sys::Unacknowledged(socket_, &unacknowledged) != 0) return false;
-  // A close of this side that was sent counts there as one byte more.
+  if (sys::UnacknowledgedBytes(socket_, &unacknowledged) != 0) return false;
+  // The kernel counts a shutdown of the write side that was sent as one byte more.
   const std::uint64_t open_bytes = std::min(bytes_sent_, static_cast<std::uint64_t>(unacknowledged));
   bytes_delivered_ = std::max(bytes_delivered_, bytes_sent_ - open_bytes);
   return position <= bytes_delivered_;
 }
 
-bool Connection::BackedUp() const {
+bool Connection::HasUnsentBytes() const {
   if (!up()) return false;
   int bytes = 0;
-  return blocked() || (sys::Unsent(socket_, &bytes) == 0 && bytes > 0);
+  return blocked() || (sys::UnsentBytes(socket_, &bytes) == 0 && bytes > 0);
 }
 
-void Connection::Watch() {
-  const bool read = reads() && (reads_to_end_ || pending() < kWriteBackedUp);
+void Connection::UpdateWatcher() {
+  const bool read = IsReading() && (reads_to_end_ || pending() < kReadPauseBytes);
   const int events = (read ? EV_READ : 0) | (flushed() ? 0 : EV_WRITE);
   if ((io_.events & (EV_READ | EV_WRITE)) == events) return;
   ev_io_stop(loop_->raw(), &io_);
@@ -244,13 +246,13 @@
 }
 
 void Connection::Close() {
-  loop_->Forget(this);
+  loop_->CancelFlush(this);
   ev_clear_pending(loop_->raw(), &io_);
   ev_io_stop(loop_->raw(), &io_);
   if (socket_ >= 0) sys::Close(socket_);
   socket_ = -1;
   dialing_ = false;
-  DropQueue();
+  ClearQueue();
 }
 
 void Connection::Abort() {
@@ -259,59 +261,60 @@
   Close();
 }
 
-void Connection::End(Ending ending) {
+void Connection::CloseAndNotify(CloseReason reason) {
   Close();
-  handler_->OnEnd(*this, ending);
+  handler_->OnClosed(*this, reason);
 }
 
 void Connection::OnEvent(int events) {
   if (dialing_) {
     if (dial_error_ == 0) sys::GetOption(socket_, SOL_SOCKET, SO_ERROR, &dial_error_);
     if (dial_error_ != 0) {
-      End(dial_error_ == ECONNREFUSED ? Ending::kRefused : Ending::kReset);
+      CloseAndNotify(dial_error_ == ECONNREFUSED ? CloseReason::kRefused : CloseReason::kReset);
       return;
     }
     dialing_ = false;
-    Watch();
-    handler_->OnUp(*this);
+    UpdateWatcher();
+    handler_->OnConnected(*this);
     return;
   }
   if (events & EV_WRITE) Flush();
-  if (open() && reads() && (events & EV_READ)) Read();
+  if (open() && IsReading() && (events & EV_READ)) Read();
 }
 
-// One read a turn, so that who sends at full speed does not keep the others from theirs.
+// One read in each iteration of the loop, so that a peer that sends at full speed does not starve others.
 void Connection::Read() {
-  char* const buffer = loop_->scratch();
-  const std::size_t kept = in_.size();
-  if (kept >= EventLoop::kScratch / 2) {  // what does not fit is no message
-    End(Ending::kStuck);
+  char* const buffer = loop_->read_buffer();
+  const std::size_t kept = incomplete_message_.size();
+  if (kept >= EventLoop::kReadBufferBytes / 2) {  // longer than any valid message
+    CloseAndNotify(CloseReason::kOverflow);
     return;
   }
-  std::memcpy(buffer, in_.data(), kept);
+  std::memcpy(buffer, incomplete_message_.data(), kept);
   counters.bytes_kept += kept;
-  constexpr std::size_t kMost = EventLoop::kScratch / 2;
-  const ssize_t got = looks_behind_ ? sys::ReceiveAndLookBehind(socket_, buffer + kept, kMost, &left_unread_)
-                                    : sys::Recv(socket_, buffer + kept, kMost);
-  if (!looks_behind_) left_unread_ = got == static_cast<ssize_t>(kMost);
-  if (got < 0 && !broken_ && (errno == EINTR || errno == EAGAIN || errno == EWOULDBLOCK)) return;
-  if (got <= 0) {
-    End(got == 0 && !broken_ ? Ending::kClosed : Ending::kReset);
+  constexpr std::size_t kMaxReadBytes = EventLoop::kReadBufferBytes / 2;
+  const ssize_t received = reports_remaining_ ? sys::ReceiveAndReportRemaining(socket_, buffer + kept,
+                                                                               kMaxReadBytes, &left_unread_)
+                                              : sys::Recv(socket_, buffer + kept, kMaxReadBytes);
+  if (!reports_remaining_) left_unread_ = received == static_cast<ssize_t>(kMaxReadBytes);
+  if (received < 0 && !broken_ && (errno == EINTR || errno == EAGAIN || errno == EWOULDBLOCK)) return;
+  if (received <= 0) {
+    CloseAndNotify(received == 0 && !broken_ ? CloseReason::kClosed : CloseReason::kReset);
     return;
   }
-  bytes_read_ += static_cast<std::uint64_t>(got);
+  bytes_read_ += static_cast<std::uint64_t>(received);
   last_traffic = loop_->Now();
-  const std::string_view data(buffer, kept + static_cast<std::size_t>(got));
-  const std::size_t taken = handler_->OnData(*this, data);
-  if (!open() || !reads()) return;
-  if (taken == data.size()) {
-    loop_->GiveBuffer(&in_);
-    unfinished_since = 0;
+  const std::string_view data(buffer, kept + static_cast<std::size_t>(received));
+  const std::size_t consumed = handler_->OnData(*this, data);
+  if (!open() || !IsReading()) return;
+  if (consumed == data.size()) {
+    loop_->ReleaseBuffer(&incomplete_message_);
+    incomplete_message_since = 0;
   } else {
-    if (taken > 0 || kept == 0) unfinished_since = last_traffic;
-    loop_->TakeBuffer(&in_);
-    in_.assign(data.substr(taken));
-    counters.bytes_kept += in_.size();
+    if (consumed > 0 || kept == 0) incomplete_message_since = last_traffic;
+    loop_->AcquireBuffer(&incomplete_message_);
+    incomplete_message_.assign(data.substr(consumed));
+    counters.bytes_kept += incomplete_message_.size();
   }
 }
 
--- a/src/net/counters.h
+++ b/src/net/counters.h
@@ -1,4 +1,5 @@
-// What the program took in, sent and answered since its start; printed on SIGUSR1 and at exit.
+// The event counters of the process since its start; printed on SIGUSR1 and at exit as `counter NAME N`
+// lines. Used on the event loop's thread only.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,7 @@
 
 namespace cluster_manager {
 
-// One counter a line.
+// One counter a line; the names are printed.
 // clang-format off
 #define WILLOWRAIL_COUNTERS(X) \
   X(admin_connections) \
@@ -104,6 +105,6 @@
   }
 };
 
-inline Counters counters;  // one process, one thread
+inline Counters counters;  // of the process
 
 }  // namespace cluster_manager
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,5 @@
-// Accepts connections. Running out of descriptors pauses accepting, it ends nothing.
+// A listening TCP socket that accepts connections on the event loop. Where descriptors run out, accepting
+// pauses and is tried again; nothing is lost. Used on the event loop's thread only.
 #pragma once
 
 #include <ev.h>
@@ -12,34 +13,38 @@
 
 class Listener {
  public:
-  // Throws NetworkError where the address cannot be listened on.
-  // Those of a higher priority (libev's: EV_MINPRI to EV_MAXPRI) accept first in a turn.
-  Listener(EventLoop* loop, const sockaddr_in& address, std::function<void(int socket)> accepted,
+  // Listens on `address` and accepts from now on. Throws NetworkError where the address cannot be listened
+  // on. Listeners of a higher priority (libev's: EV_MINPRI to EV_MAXPRI) accept first in an iteration of the
+  // loop.
+  Listener(EventLoop* loop, const sockaddr_in& address, std::function<void(int socket)> on_accepted,
            int priority = 0);
-  // Takes over a socket that listens already, as several processes may that take turns: what is in its
-  // backlog belongs to whoever accepts it. Accepts nothing before Resume().
-  Listener(EventLoop* loop, int listening, std::function<void(int socket)> accepted);
+  // Takes over a socket that is listening already. Several processes may share one; a queued connection goes
+  // to the process that accepts it. Accepts nothing before Resume(). Throws NetworkError where the descriptor
+  // is not a listening socket.
+  Listener(EventLoop* loop, int listening, std::function<void(int socket)> on_accepted);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
   sockaddr_in address() const;
   void Resume();  // accepts from now on
-  // Accepts all that had connected by the time of the call; false where descriptors ran out before.
+  // Accepts every connection that is in the accept queue at the time of the call; false where descriptors ran
+  // out before.
   bool AcceptAll();
-  void Close();  // accepts no more; where others have the socket too, its backlog is theirs
+  // Closes the socket. Queued connections are reset, unless another process shares the socket.
+  void Close();
 
  private:
-  void Watch(int priority);
-  enum class Accepting { kOne, kNone, kFailed };
-  Accepting AcceptOne();
+  void InitWatcher(int priority);
+  enum class AcceptResult { kAccepted, kQueueEmpty, kFailed };
+  AcceptResult AcceptOne();
   void Accept();
 
   EventLoop* loop_;
-  std::function<void(int)> accepted_;
+  std::function<void(int)> on_accepted_;
   int socket_ = -1;
   ev_io io_;
-  Handle retry_ = 0;
+  Handle retry_timer_ = 0;
 };
 
 }  // namespace cluster_manager
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -15,7 +15,7 @@
   timespec now{};
   clock_gettime(CLOCK_REALTIME, &now);
   if (now.tv_sec != second) {
-    if (dropped > 0) std::fprintf(stderr, "log: %d lines left out in that second\n", dropped);
+    if (dropped > 0) std::fprintf(stderr, "log: %d lines dropped in that second\n", dropped);
     second = now.tv_sec;
     lines = dropped = 0;
   }
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,19 +1,22 @@
-// The one way to the log: fprintf to standard error, rate-limited so that a storm cannot become the load.
+// The log of the process: lines on standard error with the Unix time in seconds, at most 50 a second so that
+// a flood of messages cannot overload the process. The number of dropped lines is logged. Used on the event
+// loop's thread only.
 #pragma once
 
 namespace cluster_manager {
 
 enum class LogLevel {
   kInfo,
-  kDebug  // also a line for each attempt: to which node it goes, what was known of it, when it was written
+  kDebug  // also a line for each attempt: its node, the known state of that node, and when it was written
 };
 
-// The level of the process, to be set before the loop runs. Read on the loop's thread only.
+// The level of the process. Set before the event loop runs.
 inline LogLevel log_level = LogLevel::kInfo;
 
+// Logs one line at every level. `format` as for printf; longer lines than 511 bytes are truncated.
 void Log(const char* format, ...) __attribute__((format(printf, 1, 2)));
 
-// At LogLevel::kDebug as Log(), else nothing. Arguments that cost something: ask IsDebugLogged() first.
+// Logs at LogLevel::kDebug only. Check IsDebugLogged() first where the arguments are expensive to compute.
 inline bool IsDebugLogged() { return log_level == LogLevel::kDebug; }
 void LogDebug(const char* format, ...) __attribute__((format(printf, 1, 2)));
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -11,7 +11,7 @@
 namespace cluster_manager {
 namespace {
 
-constexpr std::size_t kBuffer = 1024, kMostBuffer = 16 * 1024, kMostSpare = 32;
+constexpr std::size_t kBufferBytes = 1024, kMaxSpareBufferBytes = 16 * 1024, kMaxSpareBuffers = 32;
 
 Time UnixNow() {
   timespec now{};
@@ -22,19 +22,20 @@
 }  // namespace
 
 EventLoop::EventLoop() : loop_(ev_loop_new(EVFLAG_AUTO)), now_(UnixNow()), wheel_(now_) {
-  if (loop_ == nullptr) throw NetworkError("libev gives no event loop");
+  if (loop_ == nullptr) throw NetworkError("libev cannot create an event loop");
   ev_prepare_init(&prepare_, [](struct ev_loop*, ev_prepare* w, int) {
     static_cast<EventLoop*>(w->data)->BeforeSleep();
   });
   prepare_.data = this;
   ev_prepare_start(loop_, &prepare_);
   ev_timer_init(
-      &timer_, [](struct ev_loop*, ev_timer*, int) {}, 0, 0);  // BeforeSleep does the work
+      &timer_, [](struct ev_loop*, ev_timer*, int) {}, 0,
+      0);  // only wakes the loop; BeforeSleep() runs the deadlines
   timer_.data = this;
 }
 
 EventLoop::~EventLoop() {
-  buried_.clear();
+  to_destroy_.clear();
   for (const auto& signal : signals_) ev_signal_stop(loop_, &signal->watcher);
   for (const auto& wake : wakes_) ev_async_stop(loop_, &wake->watcher);
   ev_timer_stop(loop_, &timer_);
@@ -47,57 +48,57 @@
   return now_;
 }
 
-void EventLoop::OnSignal(int number, std::function<void()> what) {
+void EventLoop::OnSignal(int number, std::function<void()> callback) {
   signals_.push_back(std::make_unique<Signal>());
   Signal* signal = signals_.back().get();
-  signal->what = std::move(what);
+  signal->callback = std::move(callback);
   ev_signal_init(
-      &signal->watcher, [](struct ev_loop*, ev_signal* w, int) { static_cast<Signal*>(w->data)->what(); },
+      &signal->watcher, [](struct ev_loop*, ev_signal* w, int) { static_cast<Signal*>(w->data)->callback(); },
       number);
   signal->watcher.data = signal;
   ev_signal_start(loop_, &signal->watcher);
 }
 
-std::function<void()> EventLoop::Waker(std::function<void()> what) {
+std::function<void()> EventLoop::Waker(std::function<void()> callback) {
   wakes_.push_back(std::make_unique<Wake>());
   Wake* wake = wakes_.back().get();
-  wake->what = std::move(what);
+  wake->callback = std::move(callback);
   ev_async_init(&wake->watcher,
-                [](struct ev_loop*, ev_async* w, int) { static_cast<Wake*>(w->data)->what(); });
+                [](struct ev_loop*, ev_async* w, int) { static_cast<Wake*>(w->data)->callback(); });
   wake->watcher.data = wake;
   ev_async_start(loop_, &wake->watcher);
   return [this, wake] { ev_async_send(loop_, &wake->watcher); };
 }
 
-// Marked, not taken out: a connection may end while the list is being gone through.
-void EventLoop::Forget(Connection* connection) { std::ranges::replace(to_flush_, connection, nullptr); }
+// Sets the entry to null instead of erasing it: a connection may be closed while FlushAll() iterates.
+void EventLoop::CancelFlush(Connection* connection) { std::ranges::replace(to_flush_, connection, nullptr); }
 
 void EventLoop::DestroyLater(std::unique_ptr<Connection> connection) {
   if (connection == nullptr) return;
   connection->Close();
-  buried_.push_back(std::move(connection));
+  to_destroy_.push_back(std::move(connection));
 }
 
 void EventLoop::InjectEvent(ev_io* watcher, int event) {
   ev_feed_event(loop_, watcher, event);
-  fed_ = true;
+  event_injected_ = true;
 }
 
-void EventLoop::TakeBuffer(std::string* buffer) {
-  if (buffer->capacity() >= kBuffer) return;
-  if (spare_.empty()) {
-    buffer->reserve(kBuffer);
+void EventLoop::AcquireBuffer(std::string* buffer) {
+  if (buffer->capacity() >= kBufferBytes) return;
+  if (spare_buffers_.empty()) {
+    buffer->reserve(kBufferBytes);
     return;
   }
-  buffer->swap(spare_.back());
-  spare_.pop_back();
+  buffer->swap(spare_buffers_.back());
+  spare_buffers_.pop_back();
 }
 
-void EventLoop::GiveBuffer(std::string* buffer) {
+void EventLoop::ReleaseBuffer(std::string* buffer) {
   buffer->clear();
-  if (buffer->capacity() < kBuffer) return;
-  if (buffer->capacity() <= kMostBuffer && spare_.size() < kMostSpare) {
-    spare_.push_back(std::move(*buffer));
+  if (buffer->capacity() < kBufferBytes) return;
+  if (buffer->capacity() <= kMaxSpareBufferBytes && spare_buffers_.size() < kMaxSpareBuffers) {
+    spare_buffers_.push_back(std::move(*buffer));
   }
   std::string().swap(*buffer);
 }
@@ -112,12 +113,12 @@
 void EventLoop::BeforeSleep() {
   wheel_.Advance(Now());
   FlushAll();
-  ++turn_;
-  buried_.clear();
+  ++iteration_;
+  to_destroy_.clear();
   ev_timer_stop(loop_, &timer_);
-  // Guards against a sleep on what an event brings about that was fed in this very phase: it is handled after
-  // these lines, and its writes and deadlines belong to the next turn, which follows at once.
-  const Time next = std::exchange(fed_, false) ? 0 : wheel_.Next();
+  // An event that was injected during this function is handled after it, and its writes and deadlines belong
+  // to the next iteration: the loop must not sleep before that.
+  const Time next = std::exchange(event_injected_, false) ? 0 : wheel_.NextDeadline();
   polled_at_ = Now();
   if (next < 0) return;
   ev_now_update(loop_);
--- a/src/net/network_error.h
+++ b/src/net/network_error.h
@@ -1,11 +1,11 @@
-// The error of a socket or event loop that cannot be set up.
+// The exception for a socket or event loop that cannot be set up.
 #pragma once
 
 #include <stdexcept>
 
 namespace cluster_manager {
 
-// The text names the address or descriptor, and what the system said.
+// The message states what failed, with the descriptor or the error text of the system.
 class NetworkError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/net/sys.h
+++ b/src/net/sys.h
@@ -1,5 +1,6 @@
-// The one seam between the program and the kernel: every system call of the socket path passes here and is
-// counted by name. What libev calls by itself (epoll) is counted by the counting build alone.
+// Wrappers of the system calls on sockets, each of which counts its calls by name; printed on SIGUSR1 and at
+// exit. Results and errno are those of the system call. The calls that libev makes by itself (epoll) are
+// counted by the counting build (bench/counted.cpp) only.
 #pragma once
 
 #include <linux/sockios.h>
@@ -17,7 +18,7 @@
 
 namespace cluster_manager::sys {
 
-// One call a line.
+// One system call a line; the names are printed.
 // clang-format off
 #define WILLOWRAIL_CALLS(X) \
   X(socket) \
@@ -44,7 +45,7 @@
   }
 };
 
-inline Calls calls;  // one process, one thread
+inline Calls calls;  // of the process; used on the event loop's thread only
 
 inline int Socket(int domain, int type, int protocol) {
   ++calls.socket;
@@ -62,9 +63,9 @@
   ++calls.recv;
   return ::recv(socket, to, size, 0);
 }
-// Receives, and tells in `left` whether something is left to receive behind it: bytes, or the end of the
-// stream. Only on a socket that has the option TCP_INQ set; elsewhere `left` stays as it is.
-inline ssize_t ReceiveAndLookBehind(int socket, void* to, std::size_t size, bool* left) {
+// Receives, and sets `remaining` to whether bytes or the end of the stream remain to be received. Only on a
+// socket with the option TCP_INQ; on others `remaining` is unchanged.
+inline ssize_t ReceiveAndReportRemaining(int socket, void* to, std::size_t size, bool* remaining) {
   ++calls.recv;
   iovec part{to, size};
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))];
@@ -73,21 +74,22 @@
   message.msg_iovlen = 1;
   message.msg_control = control;
   message.msg_controllen = sizeof control;
-  const ssize_t got = ::recvmsg(socket, &message, 0);
-  if (got < 0) return got;
-  for (cmsghdr* each = CMSG_FIRSTHDR(&message); each != nullptr; each = CMSG_NXTHDR(&message, each)) {
-    if (each->cmsg_level != IPPROTO_TCP || each->cmsg_type != TCP_CM_INQ) continue;
+  const ssize_t received = ::recvmsg(socket, &message, 0);
+  if (received < 0) return received;
+  for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_level != IPPROTO_TCP || header->cmsg_type != TCP_CM_INQ) continue;
     int bytes = 0;
-    std::memcpy(&bytes, CMSG_DATA(each), sizeof bytes);
-    *left = bytes > 0;
+    std::memcpy(&bytes, CMSG_DATA(header), sizeof bytes);
+    *remaining = bytes > 0;
   }
-  return got;
+  return received;
 }
 inline ssize_t Send(int socket, const void* from, std::size_t size) {
   ++calls.send;
   return ::send(socket, from, size, MSG_NOSIGNAL);
 }
-inline ssize_t Gather(int socket, iovec* parts, std::size_t count) {
+// Sends several buffers in one system call.
+inline ssize_t SendVector(int socket, iovec* parts, std::size_t count) {
   ++calls.send;
   msghdr message{};
   message.msg_iov = parts;
@@ -111,24 +113,25 @@
   socklen_t size = sizeof *value;
   return ::getsockopt(socket, level, option, value, &size);
 }
-inline int Unread(int socket, int* bytes) {
+// The number of bytes that were received and not read yet.
+inline int UnreadBytes(int socket, int* bytes) {
   ++calls.ioctl;
   return ::ioctl(socket, FIONREAD, bytes);
 }
-// What poll(2) says of the socket at once, of the events asked for and of its ends.
+// The result of poll(2) without waiting: those of `events` that are ready, and errors and hang-ups.
 inline short Poll(int socket, short events) {
   ++calls.poll;
-  pollfd wanted{socket, events, 0};
-  return ::poll(&wanted, 1, 0) > 0 ? wanted.revents : short{0};
+  pollfd request{socket, events, 0};
+  return ::poll(&request, 1, 0) > 0 ? request.revents : short{0};
 }
-// Bytes that the socket has taken and its peer has no room for.
-inline int Unsent(int socket, int* bytes) {
+// The number of bytes that were written to the socket and have not been sent.
+inline int UnsentBytes(int socket, int* bytes) {
   ++calls.ioctl;
   return ::ioctl(socket, SIOCOUTQNSD, bytes);
 }
 
-// Bytes that the socket has taken and its peer has not acknowledged.
-inline int Unacknowledged(int socket, int* bytes) {
+// The number of bytes that were written to the socket and that the peer has not acknowledged.
+inline int UnacknowledgedBytes(int socket, int* bytes) {
   ++calls.ioctl;
   return ::ioctl(socket, SIOCOUTQ, bytes);
 }
--- a/src/nodes/attempt_sending.cpp
+++ b/src/nodes/attempt_sending.cpp
@@ -28,7 +28,7 @@
   const Connection& connection = *node_connection.transport;
   if (!connection.up()) return false;
   if (loop_->Now() - connection.last_traffic >= timeouts_.keepalive - kIdleCloseMargin) return false;
-  return connection.LookAhead() != Incoming::kEnd;
+  return connection.PeekInput() != InputState::kEnd;
 }
 
 // The connection to write to: a responsive one before a suspect one, then the one with the fewest unanswered
@@ -106,17 +106,17 @@
   if (IsDebugLogged()) {
     LogDebug("attempt %llu: written to node %u at %s, loop iteration %llu",
              static_cast<unsigned long long>(queued.attempt), node_connection->node,
-             AddressText(record->address).c_str(), static_cast<unsigned long long>(loop_->turn()));
+             AddressText(record->address).c_str(), static_cast<unsigned long long>(loop_->iteration()));
   }
-  record->sent_attempts[queued.id] = {queued.attempt, node_connection->transport->tag, loop_->turn()};
+  record->sent_attempts[queued.id] = {queued.attempt, node_connection->transport->tag, loop_->iteration()};
   ++node_connection->unanswered;
   Connection* connection = node_connection->transport.get();
   const auto& [bytes, class_end] = queued.payload;
   const Time remaining_ms = std::max<Time>(1, (queued.until - loop_->Now()) / kMs);
-  Writer message(connection->out(), Type::kSetUp, queued.id);
-  connection->Refer(bytes, 0, class_end);
+  Writer message(connection->write_queue(), Type::kSetUp, queued.id);
+  connection->AppendBlock(bytes, 0, class_end);
   message.Foreign(bytes.size()).Add(Code::kWait, remaining_ms);
-  connection->Refer(bytes, class_end, bytes.size());
+  connection->AppendBlock(bytes, class_end, bytes.size());
 }
 
 void NodeConnectionPool::Defer(NodeId node, const QueuedAttempt& queued) {
@@ -177,13 +177,13 @@
   --node_connection->unanswered;
   ++counters.attempt_cancellations_sent;
   Connection* connection = node_connection->transport.get();
-  Writer(connection->out(), Type::kRelease, id).Add(Cause::kEnded);
+  Writer(connection->write_queue(), Type::kRelease, id).Add(Cause::kEnded);
   // Written now, so that no second attempt overtakes it. Where the socket takes no more, the connection is
   // closed, which gives up all that is unanswered on it.
   connection->Flush();
   if (connection->open() && !connection->flushed()) {
     connection->Close();
-    OnEnd(*connection, Ending::kReset);
+    OnClosed(*connection, CloseReason::kReset);
   }
   Suspect(node, handle, loop_->Now() - timeouts_.dial);
   return true;
@@ -203,12 +203,12 @@
 void NodeConnectionPool::SendStopRequest(TaskId id, Handle* sent_on, NodeConnection* node_connection) {
   ++counters.task_stops_sent;
   *sent_on = node_connection->transport->tag;
-  Writer(node_connection->transport->out(), Type::kRelease, id).Add(Cause::kCancelled);
+  Writer(node_connection->transport->write_queue(), Type::kRelease, id).Add(Cause::kCancelled);
 }
 
 void NodeConnectionPool::SendOrphanStop(TaskId id, NodeConnection* node_connection) {
   ++counters.orphaned_tasks_stopped;
-  Writer(node_connection->transport->out(), Type::kRelease, id).Add(Cause::kCancelled);
+  Writer(node_connection->transport->write_queue(), Type::kRelease, id).Add(Cause::kCancelled);
 }
 
 }  // namespace cluster_manager
--- a/src/nodes/connection_lifecycle.cpp
+++ b/src/nodes/connection_lifecycle.cpp
@@ -35,7 +35,7 @@
   NodeConnection* node_connection = connections_.Get(handle);
   node_connection->transport->tag = handle;
   node_connection->timer =
-      loop_->After(timeouts_.dial, [this, handle] { DialFailed(handle, Ending::kReset); });
+      loop_->After(timeouts_.dial, [this, handle] { DialFailed(handle, CloseReason::kReset); });
   return node_connection;
 }
 
@@ -108,7 +108,7 @@
   connections_.Erase(handle);
 }
 
-void NodeConnectionPool::OnUp(Connection& connection) {
+void NodeConnectionPool::OnConnected(Connection& connection) {
   NodeConnection* node_connection = connections_.Get(connection.tag);
   if (node_connection == nullptr) return;
   loop_->Cancel(std::exchange(node_connection->timer, 0));
@@ -130,7 +130,7 @@
   }
 }
 
-void NodeConnectionPool::DialFailed(Handle handle, Ending ending) {
+void NodeConnectionPool::DialFailed(Handle handle, CloseReason ending) {
   NodeConnection* node_connection = connections_.Get(handle);
   if (node_connection == nullptr) return;
   const NodeId node = node_connection->node;
@@ -138,7 +138,7 @@
   const std::vector<QueuedAttempt> undelivered = std::move(node_connection->queued_attempts);
   RemoveConnection(handle);
   NodeRecord* record = &nodes_[node];
-  const bool refused = ending == Ending::kRefused;
+  const bool refused = ending == CloseReason::kRefused;
   if (refused) {
     record->incarnation_may_have_ended = true;
   } else {
@@ -219,7 +219,7 @@
                           {Outcome::kNoConnection, Outcome::kAborted, EndReason::kUnspecified, {}});
 }
 
-void NodeConnectionPool::OnEnd(Connection& connection, Ending ending) {
+void NodeConnectionPool::OnClosed(Connection& connection, CloseReason ending) {
   const Handle handle = connection.tag;
   const NodeConnection* node_connection = connections_.Get(handle);
   if (node_connection == nullptr) return;
@@ -228,7 +228,7 @@
     return;
   }
   const NodeId node = node_connection->node;
-  const bool reset = ending == Ending::kReset;
+  const bool reset = ending == CloseReason::kReset;
   if (reset) ++counters.node_resets;
   RemoveConnection(handle);
   NodeRecord* record = &nodes_[node];
--- a/src/nodes/health_checks.cpp
+++ b/src/nodes/health_checks.cpp
@@ -56,7 +56,7 @@
 void NodeConnectionPool::SendHealthCheck(HealthCheck* health_check, NodeConnection* node_connection) {
   ++counters.health_checks_sent;
   health_check->connection = node_connection->transport->tag;
-  Writer(node_connection->transport->out(), Type::kTest, health_check->id).Add(Cause::kTestPassed);
+  Writer(node_connection->transport->write_queue(), Type::kTest, health_check->id).Add(Cause::kTestPassed);
 }
 
 void NodeConnectionPool::FinishHealthCheck(NodeId node, TaskId id, Outcome outcome, LoadReport report) {
--- a/src/nodes/message_handling.cpp
+++ b/src/nodes/message_handling.cpp
@@ -41,7 +41,7 @@
     ++counters.malformed;
     Log("node %u: unreadable message, closing the connection", node);
     connection.Close();
-    OnEnd(connection, Ending::kReset);
+    OnClosed(connection, CloseReason::kReset);
     return taken;
   }
   node_connection = connections_.Get(handle);
@@ -59,7 +59,7 @@
   if (node_connection == nullptr) return;
   node_connection->timer = 0;
   Connection& connection = *node_connection->transport;
-  const Time since = connection.unfinished_since;
+  const Time since = connection.incomplete_message_since;
   if (since == 0) return;
   if (loop_->Now() - since < kUnfinishedMessageTimeout) {
     node_connection->timer =
@@ -69,7 +69,7 @@
   ++counters.unfinished;
   Log("node %u: a message stays incomplete, closing the connection", node_connection->node);
   connection.Close();
-  OnEnd(connection, Ending::kReset);
+  OnClosed(connection, CloseReason::kReset);
 }
 
 // Any sign of the node counts for its failure detector. Orphaned tasks, which were reported as ended while
@@ -120,7 +120,7 @@
   }
   // A request that is still in the write queue, or that was sent on another connection, cannot be what this
   // answers: it is a duplicate that belongs to an earlier attempt.
-  const bool still_queued = sent->second.loop_turn == loop_->turn();
+  const bool still_queued = sent->second.loop_turn == loop_->iteration();
   if (still_queued || sent->second.connection != handle) {
     ++counters.node_replies_unmatched;
     return false;
--- a/src/nodes/node_connection_pool.h
+++ b/src/nodes/node_connection_pool.h
@@ -139,9 +139,9 @@
   };
 
   // Connection::Handler; see there.
-  void OnUp(Connection& connection) override;
+  void OnConnected(Connection& connection) override;
   std::size_t OnData(Connection& connection, std::string_view data) override;
-  void OnEnd(Connection& connection, Ending ending) override;
+  void OnClosed(Connection& connection, CloseReason ending) override;
 
   // Messages from nodes.
   // False where nodes send no such message: the connection is closed.
@@ -161,7 +161,7 @@
   NodeConnection* Dial(NodeId node, NodeRecord* record);
   void DialOrRetry(NodeId node, NodeRecord* record);
   void ScheduleRedial(NodeId node, NodeRecord* record);
-  void DialFailed(Handle handle, Ending ending);
+  void DialFailed(Handle handle, CloseReason ending);
   bool DetectProcessDeath(NodeId node, NodeRecord* record, Time dialed_at, bool refused);
   static std::vector<std::pair<TaskId, AttemptId>> RemoveSentAttempts(NodeRecord* record, Handle handle);
   static bool MarkUnsent(NodeRecord* record, Handle handle);
--- a/src/server/serve.cpp
+++ b/src/server/serve.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-int Serve(const Files& files) {
+int Serve(const ServerFiles& files) {
   SetHandledSignalsBlocked(true);
   log_level = LogLevelFromEnvironment();
   ServerProcess process(files, ConfigFromEnvironment());
--- a/src/server/serve.h
+++ b/src/server/serve.h
@@ -6,13 +6,13 @@
 
 namespace cluster_manager {
 
-// Paths of files that operators name on the command line; empty: not given.
-struct Files {
-  std::string sites;  // the zone failover plan
+// Paths of files that are named on the command line; empty: not given.
+struct ServerFiles {
+  std::string zone_failover_plan;
 };
 
-// Serves until SIGTERM or SIGINT has ended the process in good order; returns its exit status. Throws
-// std::exception with a message for operators where it cannot start.
-int Serve(const Files& files);
+// Serves until SIGTERM or SIGINT has been handled and the process has shut down; returns its exit status.
+// Throws std::exception with a message for operators where it cannot start.
+int Serve(const ServerFiles& files);
 
 }  // namespace cluster_manager
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -15,33 +15,33 @@
 
 namespace cluster_manager {
 
-// Defined by the counting build (bench/counted.cpp) alone: prints what it counted.
+// Set by the counting build (bench/counted.cpp) only: prints what that build counts.
 __attribute__((weak)) void (*counting_build)(std::FILE* to) = nullptr;
 
 namespace {
 
-// How long a process waits for an endpoint list to serve by. It then serves without one, since no other
-// process may be there to serve its clients while the list is out of reach.
-constexpr Time kListTimeout = 1500 * kMs;
+// How long a process waits for an endpoint list. It then serves without one, since there may be no other
+// process to serve its clients while discovery is unreachable.
+constexpr Time kEndpointListTimeout = 1500 * kMs;
 constexpr Time kReadinessCheckInterval = 5 * kMs;
 
-// Seeds the hash tables before the first of them is filled.
+// Seeds the hash functions; called before the first hash table is filled.
 std::uint64_t SeedHashes(std::uint64_t seed) { return hash_seed = seed; }
 
 }  // namespace
 
-ServerProcess::ServerProcess(Files files, Config config)
+ServerProcess::ServerProcess(ServerFiles files, Config config)
     : files_(std::move(files)),
       config_(std::move(config)),
       deployment_(zone_failover::DeploymentOf(config_.settings, config_.zones)),
       dispatcher_(&loop_, config_.settings, SeedHashes(config_.seed)),
-      node_pool_(&loop_, {config_.dial_timeout, config_.keepalive}, SocketsWithoutAdmin(config_.sockets),
+      node_pool_(&loop_, {config_.dial_timeout, config_.keepalive}, DescriptorsWithoutAdmin(config_.sockets),
                  config_.seed, &dispatcher_),
       endpoint_list_(&loop_, config_, &dispatcher_),
       frontend_(&loop_, config_, dispatcher_.classes(), &dispatcher_) {
   dispatcher_.Connect(&frontend_, &node_pool_, &endpoint_list_);
   LoadZoneFailoverPlan();
-  frontend_.SetDescriptorLimit(SocketsWithoutAdmin(config_.sockets));
+  frontend_.SetDescriptorLimit(DescriptorsWithoutAdmin(config_.sockets));
   node_pool_.SetClientDescriptors([this] { return frontend_.size(); });
   if (config_.admin) dispatcher_.SetSuspensions(&suspensions_);
   OpenSharedFiles();
@@ -50,20 +50,20 @@
   Log("%s listens on %s", config_.name.c_str(), AddressText(frontend_.address()).c_str());
   if (config_.admin) {
     admin_.emplace(&loop_, *config_.admin, this);
-    Log("operators are listened to on %s", AddressText(admin_->address()).c_str());
+    Log("admin API address: %s", AddressText(admin_->address()).c_str());
   }
   EnterPhase(Phase::kStarting);
 }
 
-int ServerProcess::SocketsWithoutAdmin(int sockets) const {
-  return config_.admin ? sockets - static_cast<int>(Admin::kMost) - 1 : sockets;
+int ServerProcess::DescriptorsWithoutAdmin(int sockets) const {
+  return config_.admin ? sockets - static_cast<int>(Admin::kMaxConnections) - 1 : sockets;
 }
 
 void ServerProcess::LoadZoneFailoverPlan() {
-  if (files_.sites.empty()) return;
-  zone_failover_.emplace(zone_failover::LoadPlan(files_.sites, deployment_), deployment_);
+  if (files_.zone_failover_plan.empty()) return;
+  zone_failover_.emplace(zone_failover::LoadPlan(files_.zone_failover_plan, deployment_), deployment_);
   dispatcher_.SetZoneFailover(&*zone_failover_);
-  Log("sites: the plan of %s is followed", files_.sites.c_str());
+  Log("zone failover: loaded plan %s", files_.zone_failover_plan.c_str());
 }
 
 void ServerProcess::InstallSignalHandlers() {
@@ -93,7 +93,7 @@
   return true;
 }
 
-// Starts the work of a phase, which may lead on to the next phase before this returns.
+// Starts the work of a phase. May advance to the next phase before it returns.
 void ServerProcess::EnterPhase(Phase phase) {
   switch (phase) {
     case Phase::kStarting:
@@ -102,12 +102,12 @@
       break;
     case Phase::kServing:
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kOpen);
-      // The accept queue of an inherited socket is served by another process until now.
+      // Until now another process accepted on an inherited socket.
       frontend_.Resume();
       break;
     case Phase::kDraining:
-      Log("drained by an operator: %zu requests to settle, %zu tasks stand",
-          dispatcher_.unanswered_requests(), dispatcher_.RunningTasks());
+      Log("draining: %zu unanswered requests, %zu running tasks", dispatcher_.unanswered_requests(),
+          dispatcher_.RunningTasks());
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kDraining);
       break;
     case Phase::kAcceptingFinalConnections:
@@ -128,12 +128,12 @@
   }
 }
 
-// Decides readiness for clients and operators alike. A process that starts alone can serve by the list that
-// its configuration holds. One that takes over from another waits until it hears the list itself: meanwhile
-// the old process serves, and knows more.
+// Decides readiness for clients and operators alike. A process with its own socket can serve with the list of
+// its configuration. One that replaces another process waits until it receives the list from discovery:
+// meanwhile the old process serves, with a more recent list.
 bool ServerProcess::CanServe() const {
-  if (loop_.now() - started_at_ >= kListTimeout) return true;
-  return endpoint_list_.size() > 0 && (!HasInheritedSocket() || endpoint_list_.live());
+  if (loop_.now() - started_at_ >= kEndpointListTimeout) return true;
+  return endpoint_list_.size() > 0 && (!HasInheritedSocket() || endpoint_list_.IsStreamLive());
 }
 
 void ServerProcess::CheckReadiness() {
@@ -148,36 +148,36 @@
   if (zone_failover_) ReloadZoneFailoverPlan();
 }
 
-// All or nothing: the whole file is checked before any of it takes effect, and the current settings stay
-// where it is wrong.
+// Atomic: the whole file is checked before any of it takes effect, and the current settings stay in force
+// where it is invalid.
 void ServerProcess::ReloadConfig() {
   try {
-    const Config fresh = ConfigFromEnvironment(&config_.shape);
-    scheduling::Scheduler(fresh.settings, 0);  // throws where the scheduler cannot work with the settings
-    const ClassTable::Change change = dispatcher_.ApplySettings(fresh.settings);
+    const Config config = ConfigFromEnvironment(&config_.shape);
+    scheduling::Scheduler(config.settings, 0);  // throws where the settings are invalid for the scheduler
+    const ClassTable::Change change = dispatcher_.ApplySettings(config.settings);
     frontend_.UpdateRequestLimits();
-    endpoint_list_.SwitchTo(fresh.bulletin, fresh.known);
-    node_pool_.SetTimeouts({fresh.dial_timeout, fresh.keepalive});
-    frontend_.SetDescriptorLimit(SocketsWithoutAdmin(fresh.sockets));
-    node_pool_.SetDescriptorLimit(SocketsWithoutAdmin(fresh.sockets));
+    endpoint_list_.Reconfigure(config.bulletin, config.known);
+    node_pool_.SetTimeouts({config.dial_timeout, config.keepalive});
+    frontend_.SetDescriptorLimit(DescriptorsWithoutAdmin(config.sockets));
+    node_pool_.SetDescriptorLimit(DescriptorsWithoutAdmin(config.sockets));
     ++counters.reloads;
-    Log("configuration read again, bulletin at %s, classes: %d new, %d changed, %d dropped",
-        AddressText(fresh.bulletin).c_str(), change.added, change.changed, change.dropped);
-    // The failover plan names classes by their positions, which may have changed.
+    Log("configuration reloaded, discovery at %s, classes: %d new, %d changed, %d dropped",
+        AddressText(config.bulletin).c_str(), change.added, change.changed, change.dropped);
+    // The zone failover plan refers to classes by position, which may have changed.
     deployment_ = zone_failover::DeploymentOf(dispatcher_.classes().settings(), config_.zones);
   } catch (const std::exception& error) {
     ++counters.reloads_refused;
-    Log("configuration not read again: %s", error.what());
+    Log("configuration reload failed: %s", error.what());
   }
 }
 
-// All or nothing, like the configuration.
+// Atomic, like ReloadConfig().
 void ServerProcess::ReloadZoneFailoverPlan() {
   try {
-    zone_failover_->Take(zone_failover::LoadPlan(files_.sites, deployment_));
-    Log("sites: the plan of %s is followed from now on", files_.sites.c_str());
+    zone_failover_->Take(zone_failover::LoadPlan(files_.zone_failover_plan, deployment_));
+    Log("zone failover: reloaded plan %s", files_.zone_failover_plan.c_str());
   } catch (const std::exception& error) {
-    Log("sites: the plan was not read again, the one before goes on:\n%s", error.what());
+    Log("zone failover: plan reload failed, keeping the current plan:\n%s", error.what());
   }
 }
 
--- a/src/server/server_process.h
+++ b/src/server/server_process.h
@@ -1,5 +1,5 @@
 // One serving cluster manager process: owns the event loop, the client frontend, the dispatcher, the node
-// connection pool, the endpoint list watcher, the operators' address and the files shared with the process
+// connection pool, the endpoint list watcher, the admin API and the files shared with the process
 // that it replaces or is replaced by, and wires them together. Signals and operators' calls drive its
 // lifecycle (server/lifecycle.h).
 //
@@ -19,10 +19,10 @@
 #include <string_view>
 
 #include "admin/admin.h"
-#include "admin/operations.h"
+#include "admin/operator_calls.h"
 #include "clients/client_frontend.h"
 #include "config/config.h"
-#include "discovery/reader.h"
+#include "discovery/endpoint_list_watcher.h"
 #include "dispatch/dispatcher.h"
 #include "handover/handover.h"
 #include "net/loop.h"
@@ -37,12 +37,12 @@
 
 class ServerProcess final : public OperatorCalls {
  public:
-  // Handled from the constructor on.
+  // The signals that the process handles, from the constructor on.
   static constexpr int kSignals[] = {SIGHUP, SIGTERM, SIGINT, SIGUSR1};
 
-  // Listens and starts to read the endpoint list. Throws std::exception with a message for operators where
+  // Listens, and starts to read the endpoint list. Throws std::exception with a message for operators where
   // the process cannot start.
-  ServerProcess(Files files, Config config);
+  ServerProcess(ServerFiles files, Config config);
   // Runs the event loop until the lifecycle reaches kEnded, then completes writes to shared files and prints
   // the statistics to stderr.
   void Run();
@@ -61,8 +61,8 @@
   static constexpr std::size_t kHandoverFile = 1;
 
   bool HasInheritedSocket() const { return config_.listen_socket >= 0; }
-  // Of `sockets` descriptors those left for clients and nodes: the operators' address has its own share.
-  int SocketsWithoutAdmin(int sockets) const;
+  // The descriptors, of `sockets`, that are left for clients and nodes beside those of the admin API.
+  int DescriptorsWithoutAdmin(int sockets) const;
   void InstallSignalHandlers();
   void LoadZoneFailoverPlan();
 
@@ -86,7 +86,7 @@
   Handover CollectHandover(bool with_tasks);
   void PublishHandover(bool with_tasks);
   TaskRequest ToTaskRequest(const HandedOverTask& task) const;
-  void TakeOver(const Handover& handover);
+  void ApplyHandover(const Handover& handover);
 
   // Operators' calls and shared files.
   void SetSuspended(const std::string& node_uid, bool suspended);
@@ -100,29 +100,29 @@
   void ReloadZoneFailoverPlan();
   void PrintStatistics();
 
-  const Files files_;
+  const ServerFiles files_;
   const Config config_;
   EventLoop loop_;
   const Time started_at_ = loop_.Now();
   Phase phase_ = Phase::kStarting;  // changed by Advance() alone
   Handle readiness_timer_ = 0;
-  Time peer_deadline_ = 0;  // kAwaitingAnswers: how long peers may still be waited for
-  Time exit_by_ = 0;        // an own socket: when SIGKILL may come
-  Time handover_by_ = 0;    // kHandingOver: when SIGKILL may come
+  Time peer_deadline_ = 0;  // kAwaitingAnswers: peers are waited for until then
+  Time exit_by_ = 0;        // with an own socket: SIGKILL may come from then on
+  Time handover_by_ = 0;    // kHandingOver: SIGKILL may come from then on
   zone_failover::Deployment deployment_;
-  std::optional<zone_failover::ZoneFailover> zone_failover_;  // where a plan is given
+  std::optional<zone_failover::ZoneFailover> zone_failover_;  // present where a plan is given
   NodeSuspensions suspensions_{NodeIdFromUid};
-  std::set<TaskId> applied_completions_;  // of the handovers read so far: each is applied once
-  std::string published_handover_;        // the text that was published last
-  std::uint64_t handover_number_ = 0;     // of the change that published it
+  std::set<TaskId> applied_completions_;  // of the handovers read so far; each is applied once
+  std::string published_handover_;        // the last published text
+  std::uint64_t handover_number_ = 0;     // the number of the change that published it
   bool write_error_logged_ = false;
   Dispatcher dispatcher_;
   NodeConnectionPool node_pool_;
   EndpointListWatcher endpoint_list_;
   ClientFrontend frontend_;
   std::optional<Admin> admin_;
-  // Absent where no other process can run beside this one and there are no suspensions to keep. The last
-  // member: its thread, which wakes the loop, ends first.
+  // Absent where no other process can run beside this one and there are no suspensions to store. Must be the
+  // last member: its thread wakes the loop, so it has to end before the loop is destroyed.
   std::optional<SharedFileMonitor> shared_files_;
 };
 
--- a/src/server/server_process_handover.cpp
+++ b/src/server/server_process_handover.cpp
@@ -13,20 +13,22 @@
 namespace {
 
 constexpr Time kCheckInterval = 10 * kMs;
-// The platform kills the old process after the longest deadline of a class (at most kMaxDeadlineWait) and
-// kExitMargin. Requests are answered kAnswerMargin before that.
+// The platform kills the old process (SIGKILL) when the longest deadline of a class, at most
+// kMaxDeadlineWait, and kExitMargin have passed since SIGTERM. Requests are answered kAnswerMargin before
+// that.
 constexpr Time kMaxDeadlineWait = 5 * kSecond;
 constexpr Time kExitMargin = 700 * kMs;
 constexpr Time kAnswerMargin = 400 * kMs;
-// So long before it connections are closed, whatever clients still ask on them.
+// Connections are closed this long before the kill, whatever clients still request on them.
 constexpr Time kCloseMargin = 350 * kMs;
-// So long before it the tasks are passed on: clients have read the last words, and the file can be written.
+// The tasks are handed over this long before the kill: clients have read their last answers by then, and the
+// file can still be written.
 constexpr Time kHandoverMargin = 200 * kMs;
 
 }  // namespace
 
-// The next process has the socket and accepts from now on: requests arrive here only on connections that are
-// open already.
+// From now on only the next process accepts on the shared socket: requests arrive here on open connections
+// only.
 void ServerProcess::BeginHandover() {
   LogStop();
   frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kHandingOver);
@@ -36,9 +38,9 @@
   CheckHandoverComplete();
 }
 
-// The old process ends as soon as it has answered every request and no client is connected: clients give its
-// tasks to the new process only then. Completions that no client could be notified of are handed over.
-// Clients that go on asking do not put this off: SIGKILL comes at a time that does not depend on them.
+// The old process ends as soon as it has answered every request and no client is connected: only then do
+// clients claim its tasks at the new process. Completions that no client could be notified of are handed
+// over. Clients that keep sending requests do not delay this: the time of SIGKILL does not depend on them.
 void ServerProcess::CheckHandoverComplete() {
   PublishHandover(false);
   const Time now = loop_.Now();
@@ -65,17 +67,17 @@
                                     task, std::string(payload.bytes.view()), payload.class_end});
         });
   }
-  for (const auto& [id, over] : frontend_.RemainingCompletions(with_tasks))
-    handover.ends.push_back({id, HandedOverCompletion::kAnyNode, over});
-  for (const UnclaimedCompletions::Completion& each : dispatcher_.unclaimed_completions().all()) {
-    const TaskEnd end = each.completed ? TaskEnd::kCompleted : TaskEnd::kAborted;
-    handover.ends.push_back({each.task, each.node, end});
+  for (const auto& [id, end] : frontend_.RemainingCompletions(with_tasks))
+    handover.completions.push_back({id, HandedOverCompletion::kAnyNode, end});
+  for (const UnclaimedCompletions::Completion& completion : dispatcher_.unclaimed_completions().all()) {
+    const TaskEnd end = completion.completed ? TaskEnd::kCompleted : TaskEnd::kAborted;
+    handover.completions.push_back({completion.task, completion.node, end});
   }
   return handover;
 }
 
-// Completions are published as they come, so that the new process can notify their clients. Tasks are
-// published at the end only, when every open attempt has either led to a running task or not.
+// Completions are published as they occur, so that the new process can notify their clients. Tasks are
+// published only at the end, when the outcome of every open attempt is known.
 void ServerProcess::PublishHandover(bool with_tasks) {
   if (!shared_files_) return;
   std::string text = FormatHandover(CollectHandover(with_tasks));
@@ -84,7 +86,7 @@
   published_handover_ = std::move(text);
 }
 
-// A class or tenant that this process does not know is replaced by a default.
+// Replaces a class or tenant that this process does not know by a default.
 TaskRequest ServerProcess::ToTaskRequest(const HandedOverTask& task) const {
   TaskRequest request{task.id, 0, task.task, {}, task.node};
   request.task.class_index = dispatcher_.classes().ForRunningTask(task.class_name);
@@ -97,18 +99,19 @@
   return request;
 }
 
-void ServerProcess::TakeOver(const Handover& handover) {
+void ServerProcess::ApplyHandover(const Handover& handover) {
   std::size_t taken_tasks = 0;
   for (const HandedOverTask& task : handover.tasks)
     taken_tasks += dispatcher_.OnTaskRequest(ToTaskRequest(task));
   std::size_t new_completions = 0;
-  for (const HandedOverCompletion& end : handover.ends) {
-    if (!applied_completions_.insert(end.id).second) continue;
+  for (const HandedOverCompletion& completion : handover.completions) {
+    if (!applied_completions_.insert(completion.id).second) continue;
     ++new_completions;
-    dispatcher_.ApplyPeerCompletion(end.node, end.id, end.over, end.node == HandedOverCompletion::kAnyNode);
+    dispatcher_.ApplyPeerCompletion(completion.node, completion.id, completion.end,
+                                    completion.node == HandedOverCompletion::kAnyNode);
   }
   if (handover.tasks.empty() && new_completions == 0) return;
-  Log("taken over: %zu of %zu tasks, %zu ends", taken_tasks, handover.tasks.size(), new_completions);
+  Log("taken over: %zu of %zu tasks, %zu completions", taken_tasks, handover.tasks.size(), new_completions);
 }
 
 }  // namespace cluster_manager
--- a/src/server/server_process_operators.cpp
+++ b/src/server/server_process_operators.cpp
@@ -1,4 +1,4 @@
-// What operators ask of the process, and the files through which two processes of one cluster manager share
+// The calls of the admin API, and the files through which two processes of one cluster manager share
 // suspensions and handovers.
 #include <algorithm>
 #include <chrono>
@@ -16,8 +16,8 @@
 
 constexpr std::chrono::milliseconds kFilePollInterval{25};
 
-// The paths of the shared files, one for each suffix; none where the platform sets no TMPDIR. Bytes of the
-// name that no file name may hold are replaced.
+// The paths of the shared files, one for each suffix; empty where TMPDIR is not set. Bytes of the name that a
+// file name cannot hold are replaced by '_'.
 std::vector<std::string> SharedFilePaths(const std::string& cluster_manager_name,
                                          std::initializer_list<const char*> suffixes) {
   const char* folder = std::getenv("TMPDIR");
@@ -35,27 +35,27 @@
 
 std::string ServerProcess::Metrics() const {
   return dispatcher_.metrics().FormatJson(
-      {.relayed = counters.attempts_sent,
+      {.attempts_sent = counters.attempts_sent,
        .open_requests = dispatcher_.unanswered_requests() + dispatcher_.RunningTasks(),
-       .registry_entries = endpoint_list_.size(),
-       .out_of_rotation = dispatcher_.excluded_nodes(),
-       .cfg_accepted = counters.reloads,
-       .cfg_invalid = counters.reloads_refused});
+       .listed_nodes = endpoint_list_.size(),
+       .unavailable_nodes = dispatcher_.excluded_nodes(),
+       .reloads_applied = counters.reloads,
+       .reloads_rejected = counters.reloads_refused});
 }
 
 bool ServerProcess::Suspend(std::string_view node_uid) {
-  if (!endpoint_list_.Lists(node_uid)) return false;
+  if (!endpoint_list_.Contains(node_uid)) return false;
   SetSuspended(std::string(node_uid), true);
   return true;
 }
 
 bool ServerProcess::Resume(std::string_view node_uid) {
-  if (!endpoint_list_.Lists(node_uid) && !suspensions_.IsSuspended(std::string(node_uid))) return false;
+  if (!endpoint_list_.Contains(node_uid) && !suspensions_.IsSuspended(std::string(node_uid))) return false;
   SetSuspended(std::string(node_uid), false);
   return true;
 }
 
-// Takes effect here at once; another process, during a handover, learns it from the file.
+// Takes effect in this process at once. During a handover the other process reads it from the shared file.
 void ServerProcess::SetSuspended(const std::string& node_uid, bool suspended) {
   const bool changed =
       suspended ? suspensions_.Suspend(node_uid) : suspensions_.Resume(node_uid, loop_.Now());
@@ -70,7 +70,7 @@
 
 bool ServerProcess::Activate() {
   if (IsStopping(phase_)) return false;
-  if (phase_ == Phase::kDraining) Log("active again, by an operator");
+  if (phase_ == Phase::kDraining) Log("drain ended by an operator: accepting connections again");
   Advance(LifecycleEvent::kActivate);
   return true;
 }
@@ -80,20 +80,20 @@
   if (paths.empty() || !(config_.admin || HasInheritedSocket())) return;
   shared_files_.emplace(paths, kFilePollInterval, loop_.Waker([this] { OnSharedFileUpdates(); }));
   for (const SharedFileMonitor::FileUpdate& update : shared_files_->TakeUpdates()) {
-    // A handover that was written before the start was meant for an earlier process; suspensions still hold.
+    // A handover that was written before the start was meant for an earlier process. Suspensions still apply.
     if (update.file == kSuspensionsFile && config_.admin)
       suspensions_.ApplyText(*update.text, 0, loop_.Now());
   }
-  // Another process of this cluster manager can run beside this one only where the socket is inherited.
+  // Another process of this cluster manager can run at the same time only where the socket is inherited.
   if (HasInheritedSocket()) shared_files_->WatchForChanges();
 }
 
-// Every failure is counted, the first one is logged.
+// Counts every failure and logs the first.
 void ServerProcess::ReportWriteError(int error) {
   if (error == 0) return;
   ++counters.shared_file_failures;
   if (std::exchange(write_error_logged_, true)) return;
-  Log("what the next process is to know cannot be written down, it holds here alone: %s",
+  Log("cannot write a shared file, the next process will not know suspensions and running tasks: %s",
       std::strerror(error));
 }
 
@@ -105,7 +105,7 @@
       for (const NodeId node : suspensions_.ApplyText(*update.text, update.written, loop_.Now()))
         dispatcher_.OnSuspensionChanged(node);
     } else if (update.file == kHandoverFile && HasInheritedSocket() && !IsStopping(phase_)) {
-      TakeOver(ParseHandover(*update.text));
+      ApplyHandover(ParseHandover(*update.text));
     }
   }
 }
--- a/src/server/server_process_shutdown.cpp
+++ b/src/server/server_process_shutdown.cpp
@@ -1,5 +1,5 @@
-// Stopping a process that owns its listening socket: the last connections are accepted, open requests are
-// answered, and the connections are flushed and closed. server/lifecycle.h has the phases.
+// Graceful shutdown of a process that owns its listening socket: accepts the last connections, answers open
+// requests, then flushes and closes the connections. server/lifecycle.h describes the phases.
 #include <algorithm>
 
 #include "net/log.h"
@@ -11,26 +11,26 @@
 // After SIGTERM new connections arrive for up to 0.4 s and requests for 0.2 s more; all of them are served.
 constexpr Time kFinalConnectionsPeriod = 750 * kMs;
 // SIGKILL comes no earlier than the longest deadline of a class (at most kMaxDeadlineWait) and kExitMargin
-// after SIGTERM. Clients may use their open connections until then, so that requests may never cease to come.
+// after SIGTERM. Clients may use their open connections until then, so requests may keep arriving.
 constexpr Time kMaxDeadlineWait = 3 * kSecond;
 constexpr Time kExitMargin = 700 * kMs;
-// So long before SIGKILL every request is answered, and later ones are rejected at once.
+// Every request is answered this long before SIGKILL; later ones are rejected at once.
 constexpr Time kAnswerMargin = 400 * kMs;
-// So long before it connections are closed, whatever still comes on them: with kFlushPeriod and some time to
-// exit before SIGKILL.
+// Connections are closed this long before SIGKILL, whatever still arrives on them: enough for kFlushPeriod
+// and the exit of the process.
 constexpr Time kCloseMargin = 300 * kMs;
 constexpr Time kCheckInterval = 10 * kMs;
-// For peers that stop in the middle of a message, or do not read: a little more than the client frontend
-// allows for an incomplete message. Together with the other two periods it ends before SIGKILL may come,
+// For peers that stop in the middle of a message, or do not read: a little longer than the client frontend's
+// time-out for an incomplete message. Together with the other two periods it ends before SIGKILL may come,
 // 3.7 s after SIGTERM where deadlines are long.
 constexpr Time kPeerTimeout = 2 * kSecond;
-// For clients to read the last bytes before the sockets close.
+// For clients to read the last bytes before the sockets are closed.
 constexpr Time kFlushPeriod = 200 * kMs;
 
 }  // namespace
 
 void ServerProcess::LogStop() {
-  Log("stopping: %zu requests to settle, %zu tasks stand", dispatcher_.unanswered_requests(),
+  Log("stopping: %zu unanswered requests, %zu running tasks", dispatcher_.unanswered_requests(),
       dispatcher_.RunningTasks());
 }
 
@@ -39,18 +39,18 @@
   frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kShuttingDown);
   const Time longest_deadline = std::min(dispatcher_.classes().LongestDeadline(), kMaxDeadlineWait);
   exit_by_ = loop_.Now() + longest_deadline + kExitMargin;
-  const Time until = loop_.Now() + kFinalConnectionsPeriod;
-  loop_.At(until, [this, until] { CloseListener(until + kPeerTimeout); });
+  const Time close_at = loop_.Now() + kFinalConnectionsPeriod;
+  loop_.At(close_at, [this, close_at] { CloseListener(close_at + kPeerTimeout); });
 }
 
-// Closing a listener resets the connections that are still in its accept queue, and what their clients wrote
-// is lost: the queue is emptied first.
-void ServerProcess::CloseListener(Time give_up_at) {
-  if (frontend_.AcceptAll() || loop_.Now() >= give_up_at) {
+// Closing a listener resets the connections that are still in its accept queue, and the bytes that their
+// clients sent are lost; so the queue is emptied first.
+void ServerProcess::CloseListener(Time latest_close_at) {
+  if (frontend_.AcceptAll() || loop_.Now() >= latest_close_at) {
     frontend_.StopListening();
     Advance(LifecycleEvent::kListenerClosed);
   } else {
-    loop_.After(kCheckInterval, [this, give_up_at] { CloseListener(give_up_at); });
+    loop_.After(kCheckInterval, [this, latest_close_at] { CloseListener(latest_close_at); });
   }
 }
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,4 @@
-// The operators' address, on loopback sockets and a loop in this process that turns between a caller's steps.
+// The admin API on loopback sockets, with an event loop that runs between the steps of a caller.
 #include "admin/admin.h"
 
 #include <arpa/inet.h>
@@ -24,24 +24,24 @@
 using nlohmann::json;
 using std::chrono::steady_clock;
 
-constexpr auto kPatience = std::chrono::seconds(30);  // far more than anything here takes
+constexpr auto kTimeout = std::chrono::seconds(30);  // far longer than any step of these tests
 
 struct FakeOperations final : OperatorCalls {
   bool Ready() const override { return ready; }
   std::string Metrics() const override { return R"({"open_requests":14})"; }
-  bool Suspend(std::string_view agent) override { return Note("suspend ", agent); }
-  bool Resume(std::string_view agent) override { return Note("resume ", agent); }
-  void Drain() override { said.push_back("drain"); }
+  bool Suspend(std::string_view agent) override { return Record("suspend ", agent); }
+  bool Resume(std::string_view agent) override { return Record("resume ", agent); }
+  void Drain() override { calls.push_back("drain"); }
   bool Activate() override {
-    said.push_back("activate");
+    calls.push_back("activate");
     return !stopping;
   }
-  bool Note(std::string what, std::string_view agent) {
-    said.push_back(what.append(agent));
+  bool Record(std::string call, std::string_view agent) {
+    calls.push_back(call.append(agent));
     return agent != "nobody";
   }
   bool ready = true, stopping = false;
-  std::vector<std::string> said;
+  std::vector<std::string> calls;
 };
 
 sockaddr_in AnyPort() {
@@ -51,15 +51,15 @@
   return address;
 }
 
-struct Desk {
-  void Turn() { ev_run(loop.raw(), EVRUN_NOWAIT); }
-  // Turns until it is so; false where that never comes.
+struct Server {
+  void RunOnce() { ev_run(loop.raw(), EVRUN_NOWAIT); }
+  // Runs the loop until the condition holds; false where it does not within kTimeout.
   template <typename Condition>
-  bool Until(Condition is_so) {
-    const auto end = steady_clock::now() + kPatience;
-    while (!is_so()) {
+  bool RunUntil(Condition condition) {
+    const auto end = steady_clock::now() + kTimeout;
+    while (!condition()) {
       if (steady_clock::now() > end) return false;
-      Turn();
+      RunOnce();
       std::this_thread::sleep_for(std::chrono::microseconds(200));
     }
     return true;
@@ -70,16 +70,16 @@
   Admin admin{&loop, AnyPort(), &operations};
 };
 
-class Client {
+class Peer {
  public:
-  explicit Client(Desk* desk) : desk_(desk), socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    const sockaddr_in to = desk->admin.address();
-    REQUIRE(::connect(socket_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);  // to the backlog
+  explicit Peer(Server* server) : server_(server), socket_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    const sockaddr_in to = server->admin.address();
+    REQUIRE(::connect(socket_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0);  // queued
     ::fcntl(socket_, F_SETFL, O_NONBLOCK);
   }
-  ~Client() { ::close(socket_); }
-  Client(const Client&) = delete;
-  Client& operator=(const Client&) = delete;
+  ~Peer() { ::close(socket_); }
+  Peer(const Peer&) = delete;
+  Peer& operator=(const Peer&) = delete;
 
   int socket() const { return socket_; }
   bool Send(std::string_view text) const {
@@ -92,27 +92,27 @@
     ::close(socket_);
     socket_ = -1;
   }
-  // Reads what has come; true once the other side has closed.
-  bool Ended() {
+  // Reads what has arrived; true once the server has closed the connection.
+  bool IsClosed() {
     char buffer[4096];
     for (;;) {
-      const ssize_t got = ::recv(socket_, buffer, sizeof buffer, 0);
-      if (got < 0 && errno == EAGAIN) return false;
-      if (got <= 0) return true;
-      got_.append(buffer, static_cast<std::size_t>(got));
+      const ssize_t received = ::recv(socket_, buffer, sizeof buffer, 0);
+      if (received < 0 && errno == EAGAIN) return false;
+      if (received <= 0) return true;
+      received_.append(buffer, static_cast<std::size_t>(received));
     }
   }
-  // All that comes until the other side closes.
-  std::string Answer() {
-    CHECK(desk_->Until([&] { return Ended(); }));
-    return got_;
+  // Everything that is received until the server closes the connection.
+  std::string ReadAnswer() {
+    CHECK(server_->RunUntil([&] { return IsClosed(); }));
+    return received_;
   }
-  const std::string& got() const { return got_; }
+  const std::string& received() const { return received_; }
 
  private:
-  Desk* desk_;
+  Server* server_;
   int socket_;
-  std::string got_;
+  std::string received_;
 };
 
 int Status(const std::string& answer) {
@@ -131,13 +131,13 @@
 std::string Error(const std::string& answer) {
   return json::parse(Body(answer)).at("error").get<std::string>();
 }
-std::string Whole(const std::string& line) { return line + " HTTP/1.1\r\nHost: operators\r\n\r\n"; }
+std::string Request(const std::string& line) { return line + " HTTP/1.1\r\nHost: operators\r\n\r\n"; }
 
-// One call, with its answer checked as far as every answer is alike.
-std::string Call(Desk* desk, const std::string& request) {
-  Client client(desk);
-  CHECK(client.Send(request));
-  const std::string answer = client.Answer();
+// Makes one call and checks what all answers have in common.
+std::string Call(Server* server, const std::string& request) {
+  Peer peer(server);
+  CHECK(peer.Send(request));
+  const std::string answer = peer.ReadAnswer();
   CHECK(Field(answer, "Connection") == "close");
   CHECK(Field(answer, "Content-Type") == "application/json");
   if (!request.starts_with("HEAD")) {
@@ -147,252 +147,252 @@
   return answer;
 }
 
-TEST_CASE("each call of the operators is asked of the program and answered") {
-  Desk desk;
-  std::string answer = Call(&desk, Whole("GET /v1/readyz"));
+TEST_CASE("each call of the admin API runs its operation and is answered") {
+  Server server;
+  std::string answer = Call(&server, Request("GET /v1/readyz"));
   CHECK(Status(answer) == 200);
   CHECK(Body(answer) == R"({"ready":true})");
-  desk.operations.ready = false;
-  answer = Call(&desk, Whole("GET /v1/readyz?why=1"));
+  server.operations.ready = false;
+  answer = Call(&server, Request("GET /v1/readyz?why=1"));
   CHECK(Status(answer) == 503);
   CHECK(Body(answer) == R"({"ready":false})");
-  answer = Call(&desk, "GET /v1/metrics HTTP/1.0\r\n\r\n");
+  answer = Call(&server, "GET /v1/metrics HTTP/1.0\r\n\r\n");
   CHECK(Status(answer) == 200);
   CHECK(Body(answer) == R"({"open_requests":14})");
-  answer = Call(&desk, Whole("POST /v1/agents/s-1/suspend"));
+  answer = Call(&server, Request("POST /v1/agents/s-1/suspend"));
   CHECK(Status(answer) == 200);
   CHECK(Body(answer) == R"({"agent":"s-1","suspended":true})");
-  CHECK(Status(Call(&desk, Whole("POST /v1/agents/s%2D1%2f%c3%A9/resume"))) == 200);
-  CHECK(Body(Call(&desk, Whole("POST /v1/cluster-manager/drain"))) == R"({"draining":true})");
-  CHECK(Body(Call(&desk, Whole("POST http://operators:80/v1/cluster-manager/activate"))) ==
+  CHECK(Status(Call(&server, Request("POST /v1/agents/s%2D1%2f%c3%A9/resume"))) == 200);
+  CHECK(Body(Call(&server, Request("POST /v1/cluster-manager/drain"))) == R"({"draining":true})");
+  CHECK(Body(Call(&server, Request("POST http://operators:80/v1/cluster-manager/activate"))) ==
         R"({"draining":false})");
-  CHECK(desk.operations.said ==
+  CHECK(server.operations.calls ==
         std::vector<std::string>{"suspend s-1", "resume s-1/\xc3\xa9", "drain", "activate"});
-  desk.operations.stopping = true;
-  CHECK(Status(Call(&desk, Whole("POST /v1/cluster-manager/activate"))) == 503);
-  CHECK(desk.Until([&] { return desk.admin.size() == 0; }));
+  server.operations.stopping = true;
+  CHECK(Status(Call(&server, Request("POST /v1/cluster-manager/activate"))) == 503);
+  CHECK(server.RunUntil([&] { return server.admin.size() == 0; }));
 }
 
-TEST_CASE("a HEAD is answered as a GET, without the body") {
-  Desk desk;
-  const std::string answer = Call(&desk, Whole("HEAD /v1/metrics"));
+TEST_CASE("a HEAD request is answered like a GET request without the body") {
+  Server server;
+  const std::string answer = Call(&server, Request("HEAD /v1/metrics"));
   CHECK(Status(answer) == 200);
   CHECK(Field(answer, "Content-Length") == "20");
   CHECK(Body(answer).empty());
 }
 
-TEST_CASE("what the address does not know is refused with a word on what to write") {
-  Desk desk;
+TEST_CASE("unknown paths and methods and malformed ids are rejected with a helpful error") {
+  Server server;
   const std::uint64_t refused = counters.admin_refused;
-  std::string answer = Call(&desk, Whole("POST /v1/agents/nobody/suspend"));
+  std::string answer = Call(&server, Request("POST /v1/agents/nobody/suspend"));
   CHECK(Status(answer) == 404);
   CHECK(Error(answer) == "no agent has the id 'nobody'; GET /v1/metrics shows how many are listed");
-  CHECK(desk.operations.said == std::vector<std::string>{"suspend nobody"});
-  desk.operations.said.clear();
+  CHECK(server.operations.calls == std::vector<std::string>{"suspend nobody"});
+  server.operations.calls.clear();
 
   for (const char* path : {"/", "/v1/ready", "/v1/readyz/", "/v1/agents/suspend", "/v1/agents/s-1", "*",
                            "/v1/agents/a/b/suspend", "/v1/agents/s-1/stop", "/v1/cluster-manager/"}) {
     CAPTURE(path);
-    answer = Call(&desk, Whole((path[0] == '*' ? "OPTIONS " : "GET ") + std::string(path)));
+    answer = Call(&server, Request((path[0] == '*' ? "OPTIONS " : "GET ") + std::string(path)));
     CHECK(Status(answer) == 404);
     CHECK(Error(answer).find("GET /v1/readyz") != std::string::npos);
   }
-  answer = Call(&desk, Whole("POST /v1/readyz"));
+  answer = Call(&server, Request("POST /v1/readyz"));
   CHECK(Status(answer) == 405);
   CHECK(Field(answer, "Allow") == "GET, HEAD");
   CHECK(Error(answer).find("use GET") != std::string::npos);
-  CHECK(Field(Call(&desk, Whole("DELETE /v1/metrics")), "Allow") == "GET, HEAD");
-  CHECK(Field(Call(&desk, Whole("GET /v1/agents/s-1/resume")), "Allow") == "POST");
-  answer = Call(&desk, Whole("GET /v1/cluster-manager/drain"));
+  CHECK(Field(Call(&server, Request("DELETE /v1/metrics")), "Allow") == "GET, HEAD");
+  CHECK(Field(Call(&server, Request("GET /v1/agents/s-1/resume")), "Allow") == "POST");
+  answer = Call(&server, Request("GET /v1/cluster-manager/drain"));
   CHECK(Status(answer) == 405);
   CHECK(Field(answer, "Allow") == "POST");
 
   for (const std::string& id :
        {std::string(), std::string("a%2"), std::string("a%zz"), std::string("%"), std::string(257, 'x')}) {
     CAPTURE(id);
-    CHECK(Status(Call(&desk, Whole("POST /v1/agents/" + id + "/suspend"))) == 400);
+    CHECK(Status(Call(&server, Request("POST /v1/agents/" + id + "/suspend"))) == 400);
   }
-  CHECK(desk.operations.said.empty());
-  CHECK(Status(Call(&desk, Whole("POST /v1/agents/" + std::string(256, 'x') + "/suspend"))) == 200);
+  CHECK(server.operations.calls.empty());
+  CHECK(Status(Call(&server, Request("POST /v1/agents/" + std::string(256, 'x') + "/suspend"))) == 200);
   CHECK(counters.admin_refused - refused == 19);
-  // An id may be any bytes: what says so stays JSON.
-  const admin::Reply reply = admin::Carry("POST", "/v1/agents/%ff%00%22/suspend", &desk.operations);
+  // An id may hold any bytes, and the body of the answer is still valid JSON.
+  const admin::Reply reply = admin::HandleCall("POST", "/v1/agents/%ff%00%22/suspend", &server.operations);
   CHECK(reply.status == 200);
   CHECK(json::accept(reply.body));
 }
 
-TEST_CASE("what is no HTTP, or too long, is refused and closed") {
-  Desk desk;
+TEST_CASE("malformed and oversized requests are rejected and the connection is closed") {
+  Server server;
   for (const char* text : {"hello\r\n\r\n", "\x16\x03\x01\x02\r\n", "GET /v1/readyz SMTP/1.1\r\n\r\n",
                            "GET v1 HTTP/1.1\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n"}) {
     CAPTURE(text);
-    const std::string answer = Call(&desk, text);
+    const std::string answer = Call(&server, text);
     CHECK(Status(answer) == 400);
     CHECK_FALSE(Error(answer).empty());
   }
   const std::string start = "GET /v1/readyz HTTP/1.1\r\nX: ";
-  CHECK(Status(Call(&desk, start + std::string(8000, 'x') + "\r\n\r\n")) == 200);
-  CHECK(Status(Call(&desk, start + std::string(9000, 'x') + "\r\n\r\n")) == 431);
-  CHECK(Status(Call(&desk, "GET /" + std::string(20'000, 'x'))) == 431);
+  CHECK(Status(Call(&server, start + std::string(8000, 'x') + "\r\n\r\n")) == 200);
+  CHECK(Status(Call(&server, start + std::string(9000, 'x') + "\r\n\r\n")) == 431);
+  CHECK(Status(Call(&server, "GET /" + std::string(20'000, 'x'))) == 431);
   const std::string post = "POST /v1/cluster-manager/drain HTTP/1.1\r\n";
-  CHECK(Status(Call(&desk, post + "Content-Length: 8192\r\n\r\n" + std::string(8192, 'x'))) == 200);
-  CHECK(Status(Call(&desk, post + "Content-Length: 8193\r\n\r\n")) == 413);
+  CHECK(Status(Call(&server, post + "Content-Length: 8192\r\n\r\n" + std::string(8192, 'x'))) == 200);
+  CHECK(Status(Call(&server, post + "Content-Length: 8193\r\n\r\n")) == 413);
   std::string chunked = post + "Transfer-Encoding: chunked\r\n\r\n";
   for (int i = 0; i < 20; ++i) chunked += "400\r\n" + std::string(1024, 'x') + "\r\n";
-  CHECK(Status(Call(&desk, chunked)) == 413);
-  CHECK(desk.operations.said == std::vector<std::string>{"drain"});
+  CHECK(Status(Call(&server, chunked)) == 413);
+  CHECK(server.operations.calls == std::vector<std::string>{"drain"});
 }
 
-TEST_CASE("a call is made once it is whole, its body too, in pieces of any size") {
-  Desk desk;
+TEST_CASE("a call runs once its request and body are complete in pieces of any size") {
+  Server server;
   const std::string head = "POST /v1/agents/s-%31/suspend HTTP/1.1\r\nHost: operators\r\n";
   for (const std::string& request :
        {head + "\r\n", head + "Content-Length: 11\r\n\r\n{\"why\":\"x\"}",
         head + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n1\r\n!\r\n0\r\nTrailer: x\r\n\r\n"}) {
     CAPTURE(request);
-    Client client(&desk);
+    Peer peer(&server);
     for (const char byte : request) {
-      CHECK(desk.operations.said.empty());
-      CHECK(client.Send({&byte, 1}));
-      desk.Turn();
-      desk.Turn();
+      CHECK(server.operations.calls.empty());
+      CHECK(peer.Send({&byte, 1}));
+      server.RunOnce();
+      server.RunOnce();
     }
-    CHECK(Status(client.Answer()) == 200);
-    CHECK(desk.operations.said == std::vector<std::string>{"suspend s-1"});
-    desk.operations.said.clear();
+    CHECK(Status(peer.ReadAnswer()) == 200);
+    CHECK(server.operations.calls == std::vector<std::string>{"suspend s-1"});
+    server.operations.calls.clear();
   }
 }
 
-TEST_CASE("a second call on a connection is not made, and the first is answered in order") {
-  Desk desk;
-  Client client(&desk);
-  CHECK(client.Send(Whole("POST /v1/cluster-manager/drain") + Whole("POST /v1/cluster-manager/activate")));
-  CHECK(desk.Until([&] { return !client.got().empty() || client.Ended(); }));
-  client.Send(Whole("POST /v1/cluster-manager/activate"));
-  const std::string answer = client.Answer();
+TEST_CASE("a second call on a connection does not run and the first is answered") {
+  Server server;
+  Peer peer(&server);
+  CHECK(peer.Send(Request("POST /v1/cluster-manager/drain") + Request("POST /v1/cluster-manager/activate")));
+  CHECK(server.RunUntil([&] { return !peer.received().empty() || peer.IsClosed(); }));
+  peer.Send(Request("POST /v1/cluster-manager/activate"));
+  const std::string answer = peer.ReadAnswer();
   CHECK(Status(answer) == 200);
   CHECK(answer.find("HTTP/1.1", 1) == std::string::npos);
-  CHECK(desk.operations.said == std::vector<std::string>{"drain"});
-  CHECK(desk.Until([&] { return desk.admin.size() == 0; }));
+  CHECK(server.operations.calls == std::vector<std::string>{"drain"});
+  CHECK(server.RunUntil([&] { return server.admin.size() == 0; }));
 }
 
-TEST_CASE("who half-closes after its request is answered") {
-  Desk desk;
-  Client client(&desk);
-  CHECK(client.Send(Whole("GET /v1/readyz")));
-  client.HalfClose();
-  CHECK(Status(client.Answer()) == 200);
+TEST_CASE("a caller that shuts down its write side after the request is answered") {
+  Server server;
+  Peer peer(&server);
+  CHECK(peer.Send(Request("GET /v1/readyz")));
+  peer.HalfClose();
+  CHECK(Status(peer.ReadAnswer()) == 200);
 }
 
-TEST_CASE("who resets, before or after its request, leaves nothing behind") {
-  Desk desk;
+TEST_CASE("a caller that resets its connection before or after its request leaves no state behind") {
+  Server server;
   const std::uint64_t left = counters.admin_left;
-  Client silent(&desk), partial(&desk), whole(&desk);
+  Peer silent(&server), partial(&server), complete(&server);
   CHECK(partial.Send("GET /v1/rea"));
-  CHECK(desk.Until([&] { return desk.admin.size() == 3; }));
-  CHECK(whole.Send(Whole("GET /v1/readyz")));
-  for (Client* client : {&silent, &partial, &whole}) client->Reset();
-  CHECK(desk.Until([&] { return desk.admin.size() == 0; }));
+  CHECK(server.RunUntil([&] { return server.admin.size() == 3; }));
+  CHECK(complete.Send(Request("GET /v1/readyz")));
+  for (Peer* peer : {&silent, &partial, &complete}) peer->Reset();
+  CHECK(server.RunUntil([&] { return server.admin.size() == 0; }));
   CHECK(counters.admin_left - left >= 2);
-  CHECK(Status(Call(&desk, Whole("GET /v1/readyz"))) == 200);
+  CHECK(Status(Call(&server, Request("GET /v1/readyz"))) == 200);
 }
 
-TEST_CASE("who completes no call is told so and closed") {
-  Desk desk;
+TEST_CASE("an incomplete call is answered with 408 after the time-out and closed") {
+  Server server;
   const std::uint64_t late = counters.admin_late;
-  Client silent(&desk), partial(&desk);
+  Peer silent(&server), partial(&server);
   CHECK(partial.Send("POST /v1/cluster-manager/drain HTTP/1.1\r\nContent-Length: 9\r\n\r\n1234"));
-  CHECK(Status(silent.Answer()) == 408);
-  const std::string answer = partial.Answer();
+  CHECK(Status(silent.ReadAnswer()) == 408);
+  const std::string answer = partial.ReadAnswer();
   CHECK(Status(answer) == 408);
   CHECK(Error(answer).find("within 2 s") != std::string::npos);
   CHECK(counters.admin_late - late == 2);
-  CHECK(desk.operations.said.empty());
-  CHECK(desk.Until([&] { return desk.admin.size() == 0; }));
+  CHECK(server.operations.calls.empty());
+  CHECK(server.RunUntil([&] { return server.admin.size() == 0; }));
 }
 
-TEST_CASE("callers who say nothing, however many, keep nobody from an answer") {
-  Desk desk;
-  std::vector<std::unique_ptr<Client>> silent;
-  for (int i = 0; i < 200; ++i) silent.push_back(std::make_unique<Client>(&desk));
-  Client client(&desk);
-  CHECK(client.Send(Whole("GET /v1/readyz")));
-  // Here nobody's time is up yet: the answer does not wait for theirs.
+TEST_CASE("any number of silent callers does not keep another caller from its answer") {
+  Server server;
+  std::vector<std::unique_ptr<Peer>> silent;
+  for (int i = 0; i < 200; ++i) silent.push_back(std::make_unique<Peer>(&server));
+  Peer peer(&server);
+  CHECK(peer.Send(Request("GET /v1/readyz")));
+  // No caller has timed out yet: the answer does not wait for that.
   const std::uint64_t late = counters.admin_late;
-  CHECK(desk.Until([&] { return client.Ended(); }));
-  CHECK(Status(client.got()) == 200);
+  CHECK(server.RunUntil([&] { return peer.IsClosed(); }));
+  CHECK(Status(peer.received()) == 200);
   CHECK(counters.admin_late == late);
-  CHECK(desk.admin.size() <= Admin::kMost);
-  // Nor does one go that has sent its call before others came in numbers.
-  Client early(&desk);
-  CHECK(early.Send(Whole("GET /v1/metrics")));
-  for (int i = 0; i < 200; ++i) silent.push_back(std::make_unique<Client>(&desk));
-  CHECK(Status(early.Answer()) == 200);
-  CHECK(desk.admin.size() <= Admin::kMost);
+  CHECK(server.admin.size() <= Admin::kMaxConnections);
+  // A caller that sent its call before many others connected is not evicted either.
+  Peer earlier(&server);
+  CHECK(earlier.Send(Request("GET /v1/metrics")));
+  for (int i = 0; i < 200; ++i) silent.push_back(std::make_unique<Peer>(&server));
+  CHECK(Status(earlier.ReadAnswer()) == 200);
+  CHECK(server.admin.size() <= Admin::kMaxConnections);
 }
 
-TEST_CASE("calls in numbers are all answered, and hold twice the most connections at worst") {
-  Desk desk;
-  std::vector<std::unique_ptr<Client>> clients;
-  for (std::size_t i = 0; i < 2 * Admin::kMost; ++i) {
-    clients.push_back(std::make_unique<Client>(&desk));
-    CHECK(clients.back()->Send(Whole("GET /v1/readyz")));
+TEST_CASE("many concurrent calls are all answered within twice the maximum of connections") {
+  Server server;
+  std::vector<std::unique_ptr<Peer>> peers;
+  for (std::size_t i = 0; i < 2 * Admin::kMaxConnections; ++i) {
+    peers.push_back(std::make_unique<Peer>(&server));
+    CHECK(peers.back()->Send(Request("GET /v1/readyz")));
   }
-  for (const auto& client : clients) CHECK(Status(client->Answer()) == 200);
-  CHECK(desk.admin.size() <= 2 * Admin::kMost);
-  CHECK(desk.Until([&] { return desk.admin.size() == 0; }));
+  for (const auto& peer : peers) CHECK(Status(peer->ReadAnswer()) == 200);
+  CHECK(server.admin.size() <= 2 * Admin::kMaxConnections);
+  CHECK(server.RunUntil([&] { return server.admin.size() == 0; }));
 }
 
-TEST_CASE("a call that has come is accepted, read and answered in one turn, before what others sent") {
-  struct Others final : Connection::Handler {
+TEST_CASE("a call is accepted and answered in one loop iteration before other input") {
+  struct OtherHandler final : Connection::Handler {
     std::size_t OnData(Connection&, std::string_view data) override {
-      operations->said.push_back("other");
+      operations->calls.push_back("other");
       return data.size();
     }
-    void OnEnd(Connection&, Ending) override {}
+    void OnClosed(Connection&, CloseReason) override {}
     FakeOperations* operations = nullptr;
   };
-  Desk desk;
-  Others others;
-  others.operations = &desk.operations;
+  Server server;
+  OtherHandler other_handler;
+  other_handler.operations = &server.operations;
   int sockets[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, sockets) == 0);
-  Connection other(&desk.loop, sockets[0], &others);
-  bool in_one = false;
-  for (int i = 0; i < 50 && !in_one; ++i) {  // the machine may be late to show what was sent
-    desk.operations.said.clear();
-    Client client(&desk);
-    CHECK(client.Send(Whole("POST /v1/cluster-manager/drain")));
+  Connection other(&server.loop, sockets[0], &other_handler);
+  bool in_order = false;
+  for (int i = 0; i < 50 && !in_order; ++i) {  // the kernel may report what was sent with a delay
+    server.operations.calls.clear();
+    Peer peer(&server);
+    CHECK(peer.Send(Request("POST /v1/cluster-manager/drain")));
     REQUIRE(::send(sockets[1], "x", 1, MSG_NOSIGNAL) == 1);
-    desk.Turn();
-    in_one = client.Ended() && desk.operations.said == std::vector<std::string>{"drain", "other"};
-    client.Answer();
+    server.RunOnce();
+    in_order = peer.IsClosed() && server.operations.calls == std::vector<std::string>{"drain", "other"};
+    peer.ReadAnswer();
   }
-  CHECK(in_one);
+  CHECK(in_order);
   ::close(sockets[1]);
 }
 
-TEST_CASE("a closed address ends who is idle, and lets a call that has begun come to its end") {
-  Desk desk;
-  Client silent(&desk), begun(&desk), sent(&desk);
-  CHECK(desk.Until([&] { return desk.admin.size() == 3; }));
-  CHECK(begun.Send("GET /v1/re"));
-  CHECK(sent.Send(Whole("GET /v1/readyz")));
-  desk.admin.Close();
-  CHECK(desk.admin.size() == 2);
-  CHECK(silent.Answer().empty());
-  CHECK(begun.Send("adyz HTTP/1.1\r\n\r\n"));
-  CHECK(Status(begun.Answer()) == 200);
-  CHECK(Status(sent.Answer()) == 200);
-  const sockaddr_in to = desk.admin.address();
+TEST_CASE("closing the address closes idle connections and lets calls that have begun complete") {
+  Server server;
+  Peer silent(&server), started(&server), sent(&server);
+  CHECK(server.RunUntil([&] { return server.admin.size() == 3; }));
+  CHECK(started.Send("GET /v1/re"));
+  CHECK(sent.Send(Request("GET /v1/readyz")));
+  server.admin.Close();
+  CHECK(server.admin.size() == 2);
+  CHECK(silent.ReadAnswer().empty());
+  CHECK(started.Send("adyz HTTP/1.1\r\n\r\n"));
+  CHECK(Status(started.ReadAnswer()) == 200);
+  CHECK(Status(sent.ReadAnswer()) == 200);
+  const sockaddr_in to = server.admin.address();
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   CHECK(::connect(socket, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0);
   ::close(socket);
 }
 
-TEST_CASE("an address that is taken is said, not waited for") {
-  Desk desk;
-  CHECK_THROWS_AS(Admin(&desk.loop, desk.admin.address(), &desk.operations), std::runtime_error);
+TEST_CASE("an address in use is reported as an error at once") {
+  Server server;
+  CHECK_THROWS_AS(Admin(&server.loop, server.admin.address(), &server.operations), std::runtime_error);
 }
 
 }  // namespace
--- a/tests/compatibility_config_test.cpp
+++ b/tests/compatibility_config_test.cpp
@@ -17,7 +17,7 @@
 #include "config/config.h"
 #include "config/config_error.h"
 #include "config/shape.h"
-#include "discovery/roster.h"
+#include "discovery/endpoint_list.h"
 
 namespace cluster_manager {
 namespace {
@@ -101,11 +101,11 @@
     Add(c.known.value("no", -1));
     for (const json& event : c.known.value("items", json::array())) {
       EndpointList::Change change;
-      Add(static_cast<int>(roster.Apply(event, EndpointList::Gap::kAccept, &change)), change.full,
+      Add(static_cast<int>(roster.Apply(event, EndpointList::GapPolicy::kAccept, &change)), change.full,
           change.version);
-      for (const Complaint& wrong : change.wrong) Add(Describe(wrong));
+      for (const Complaint& wrong : change.problems) Add(Describe(wrong));
     }
-    for (const ListedNode& node : roster.All().nodes) {
+    for (const ListedNode& node : roster.FullList().nodes) {
       const scheduling::NodeEntry& entry = node.entry;
       Add(node.endpoint, entry.node, static_cast<int>(entry.state), entry.kind, entry.zone, entry.rack);
       Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal);
@@ -224,12 +224,12 @@
   const Config c = ReadConfig(Read("router_config.json"));
   EndpointList roster(c.zones, c.kinds);
   EndpointList::Change change;
-  REQUIRE(roster.Apply(c.known["items"][0], EndpointList::Gap::kRefuse, &change) ==
-          EndpointList::Verdict::kTaken);
+  REQUIRE(roster.Apply(c.known["items"][0], EndpointList::GapPolicy::kReject, &change) ==
+          EndpointList::ApplyResult::kApplied);
   CHECK(change.full);
   CHECK(change.version == 17);
-  CHECK(roster.last() == 3);
-  CHECK(roster.Lists("s-00000001"));
+  CHECK(roster.last_event() == 3);
+  CHECK(roster.Contains("s-00000001"));
   REQUIRE(change.nodes.size() == 1);
   const ListedNode& node = change.nodes[0];
   CHECK(node.endpoint == "10.1.0.9:3868");
--- a/tests/compatibility_samples.h
+++ b/tests/compatibility_samples.h
@@ -29,8 +29,8 @@
   task.payload = std::string("\x00\x64run\n\x80", 7);
   task.class_end = 3;
   all.tasks.push_back(task);
-  all.ends.push_back({9, 17, TaskEnd::kCompleted});
-  all.ends.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
+  all.completions.push_back({9, 17, TaskEnd::kCompleted});
+  all.completions.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
   return all;
 }
 
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -87,13 +87,13 @@
   CHECK(task.task.memory == 1.5);
   CHECK(task.payload == std::string("\x00\x64run\n\x80", 7));
   CHECK(task.class_end == 3);
-  REQUIRE(all.ends.size() == 2);
-  CHECK(all.ends[0].id == 9);
-  CHECK(all.ends[0].node == 17);
-  CHECK(all.ends[0].over == TaskEnd::kCompleted);
-  CHECK(all.ends[1].id == 10);
-  CHECK(all.ends[1].node == HandedOverCompletion::kAnyNode);
-  CHECK(all.ends[1].over == TaskEnd::kAborted);
+  REQUIRE(all.completions.size() == 2);
+  CHECK(all.completions[0].id == 9);
+  CHECK(all.completions[0].node == 17);
+  CHECK(all.completions[0].end == TaskEnd::kCompleted);
+  CHECK(all.completions[1].id == 10);
+  CHECK(all.completions[1].node == HandedOverCompletion::kAnyNode);
+  CHECK(all.completions[1].end == TaskEnd::kAborted);
 }
 
 // The kept file's time is ahead of any clock, so the next one is known: one nanosecond later.
--- a/tests/crossing_cold_test.cpp
+++ b/tests/crossing_cold_test.cpp
@@ -104,9 +104,9 @@
   }
   // The whole list; back once all have taken it over.
   void Tell(const std::vector<json>& nodes) {
-    list.Tell(json(nodes), true);
+    list.AddEvent(json(nodes), true);
     for (const auto& program : programs) {
-      program->Counted("discovery_events", list.told());
+      program->Counted("discovery_events", list.event_count());
       KeepConnections();
     }
   }
--- a/tests/crossing_completion_test.cpp
+++ b/tests/crossing_completion_test.cpp
@@ -52,7 +52,7 @@
 
 // Must: the same where the process stood still meanwhile, although looks before that had found it delivered.
 // It failed since the loop took a poll that SIGCONT had ended for one that told all: EventLoop::polled_at()
-// was the time after the call, and Connection::LookAhead() said 'nothing has come' without asking the kernel.
+// was the time after the call, and Connection::PeekInput() said 'nothing has come' without asking the kernel.
 // The log of the failing plays has `counter completions_resent 0` and, for all the looks,
 // `call poll 0`.
 TEST_CASE_FIXTURE(UnreadCompletion,
--- a/tests/crossing_connection_test.cpp
+++ b/tests/crossing_connection_test.cpp
@@ -22,12 +22,12 @@
     if (on_data) on_data(connection);
     return data.size();
   }
-  void OnEnd(Connection&, Ending how) override {
+  void OnClosed(Connection&, CloseReason how) override {
     ending = how;
     if (on_end) on_end();
   }
   std::string got;
-  std::optional<Ending> ending;
+  std::optional<CloseReason> ending;
   std::function<void(Connection&)> on_data;
   std::function<void()> on_end;
 };
@@ -79,13 +79,13 @@
   TcpPair pair;
   pair.PeerWrites("the answer");
   pair.PeerResets();
-  *pair.connection->out() += "a request that crosses it";
+  *pair.connection->write_queue() += "a request that crosses it";
   pair.connection->Flush();
   CHECK_FALSE(pair.connection->up());
   pair.Run();
   CHECK(pair.handler.got == "the answer");
   REQUIRE(pair.handler.ending);
-  CHECK(*pair.handler.ending == Ending::kReset);
+  CHECK(*pair.handler.ending == CloseReason::kReset);
 }
 
 TEST_CASE("after a write that failed nothing is queued, and the connection ends once") {
@@ -98,7 +98,7 @@
   pair.PeerResets();
   const std::uint64_t before = counters.writes_failed;
   for (int i = 0; i < 3; ++i) {
-    *pair.connection->out() += "more";
+    *pair.connection->write_queue() += "more";
     pair.connection->Flush();
     CHECK(pair.connection->flushed());
   }
@@ -110,28 +110,28 @@
 TEST_CASE("the end of the stream behind the bytes at hand is seen without another read") {
   TcpPair pair;
   pair.PeerWrites("a request");
-  std::optional<Incoming> ahead;
-  pair.handler.on_data = [&](Connection& connection) { ahead = connection.LookAhead(); };
+  std::optional<InputState> ahead;
+  pair.handler.on_data = [&](Connection& connection) { ahead = connection.PeekInput(); };
   SUBCASE("closed") {
     pair.PeerCloses();
     pair.Run();
     REQUIRE(ahead);
-    CHECK(*ahead == Incoming::kEnd);
+    CHECK(*ahead == InputState::kEnd);
   }
   SUBCASE("half closed") {
     REQUIRE(::shutdown(pair.peer, SHUT_WR) == 0);
     pair.Run();
     REQUIRE(ahead);
-    CHECK(*ahead == Incoming::kEnd);
+    CHECK(*ahead == InputState::kEnd);
   }
   SUBCASE("open") {
     pair.handler.on_data = [&](Connection& connection) {
-      ahead = connection.LookAhead();
+      ahead = connection.PeekInput();
       pair.loop.Stop();
     };
     pair.Run();
     REQUIRE(ahead);
-    CHECK(*ahead == Incoming::kNothing);
+    CHECK(*ahead == InputState::kNone);
   }
 }
 
@@ -147,12 +147,12 @@
   const auto look = [&](const Connection& connection, const Recorder& its) {
     if (!its.got.empty()) return;  // its event came first: nothing is left to see
     ++looked;
-    CHECK(connection.LookAhead() == Incoming::kBytes);
+    CHECK(connection.PeekInput() == InputState::kBytes);
   };
   first.handler.on_data = [&](Connection&) { look(second, handler); };
   handler.on_data = [&](Connection&) { look(*first.connection, first.handler); };
   first.PeerWrites("one");
-  *other.connection->out() += "two";
+  *other.connection->write_queue() += "two";
   other.connection->Flush();
   first.loop.After(50 * kMs, [&] { first.loop.Stop(); });
   first.loop.Run();
--- a/tests/crossing_descriptors_test.cpp
+++ b/tests/crossing_descriptors_test.cpp
@@ -41,14 +41,14 @@
     program->Owner().NothingElse();
   }
   void Tell(const json& nodes_listed) {
-    discovery.Tell(nodes_listed);
-    program->Counted("discovery_events", discovery.told());
+    discovery.AddEvent(nodes_listed);
+    program->Counted("discovery_events", discovery.event_count());
   }
   // The list refuses connections, and has ended its stream, until ReopenDiscovery().
   void CloseDiscovery() {
     discovery.Stop();
     bulletin.Close();
-    program->Logged("bulletin: closed");
+    program->Logged("discovery: closed");
   }
   void ReopenDiscovery() {
     bulletin.Open();
--- a/tests/crossing_discovery.h
+++ b/tests/crossing_discovery.h
@@ -1,4 +1,4 @@
-// A scripted bulletin for the stories of the node list.
+// Helpers of the tests of discovery: the test plays the discovery service on a Port.
 #pragma once
 
 #include <optional>
@@ -11,50 +11,51 @@
 
 constexpr std::string_view kStreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
-// The program calls for the list from `last` on, and its call is answered.
-inline Wire Serve(Port* bulletin, int last) {
+// Accepts the program's request for the events after `last`, and starts the stream.
+inline Wire AcceptStream(Port* bulletin, int last) {
   Wire stream = bulletin->Accept();
-  const std::string call = stream.Bytes();
-  CHECK_MESSAGE(call.find("Last-Event-ID: " + std::to_string(last) + "\r\n") != std::string::npos, call);
+  const std::string request = stream.Bytes();
+  CHECK_MESSAGE(request.find("Last-Event-ID: " + std::to_string(last) + "\r\n") != std::string::npos,
+                request);
   stream.Raw(std::string(kStreamHead) + ": here\n\n");
   return stream;
 }
 
-inline std::string Told(const json& event) { return "data: " + event.dump() + "\n\n"; }
+inline std::string EventText(const json& event) { return "data: " + event.dump() + "\n\n"; }
 
-// A site whose program reads the list, from event 1 on.
-struct Watched : Site {
+// A site whose program has event 1 of the list and reads the stream.
+struct DiscoveryFixture : Site {
   std::optional<Wire> stream;
 
-  void Watch() {
+  void StartAndServeList() {
     Start();
-    stream.emplace(Serve(&bulletin, 1));
+    stream.emplace(AcceptStream(&bulletin, 1));
     CHECK(Passes());
   }
-  // It takes signals from here on.
+  // Once this is true the program handles signals.
   bool Passes() const {
-    Wire owner = program->Owner();
-    return story::Passes(&owner);
+    Wire client = program->Owner();
+    return story::Passes(&client);
   }
-  json First(const std::string& state = "in_service", double free = 10) const {
+  json FirstNode(const std::string& state = "in_service", double free = 10) const {
     return Node("s-00000001", first.endpoint(), free, state);
   }
-  json Second(const std::string& state = "in_service", double free = 5) const {
+  json SecondNode(const std::string& state = "in_service", double free = 5) const {
     return Node("s-00000002", second.endpoint(), free, state);
   }
-  // The one node that gets a task.
-  void Goes(TaskId task, Port* to) {
-    Wire owner = program->Owner();
-    Ask(&owner, task, "unsafe");
-    Wire agent = to->Accept();
-    agent.Hear(Type::kSetUp, task);
-    agent.Answer(task, "there");
-    owner.Hear(Type::kAnswer, task);
+  // Checks that a new task is sent to the node that listens on `to`.
+  void ExpectTaskAt(TaskId task, Port* to) {
+    Wire client = program->Owner();
+    Ask(&client, task, "unsafe");
+    Wire node = to->Accept();
+    node.Hear(Type::kSetUp, task);
+    node.Answer(task, "there");
+    client.Hear(Type::kAnswer, task);
   }
 };
 
-// Says the same again and again until the program has closed the stream.
-inline void Dribble(Wire* stream, std::string_view bytes) {
+// Sends `bytes` repeatedly until the program has closed the stream.
+inline void SendUntilClosed(Wire* stream, std::string_view bytes) {
   const Patience patience;
   while (!stream->Readable(50)) {
     patience.Check();
--- a/tests/crossing_discovery_test.cpp
+++ b/tests/crossing_discovery_test.cpp
@@ -1,272 +1,280 @@
-// Stories of a node list whose stream goes wrong: gaps, events and entries with wrong values, streams that
-// are there and say nothing, old events after a new call.
+// Faults of the discovery stream: gaps, events and entries with invalid values, silent and stalled streams,
+// and old events after a new request.
 #include "crossing_discovery.h"
 
 namespace cluster_manager::story {
 namespace {
 
-TEST_CASE_FIXTURE(Watched, "a gap in the numbers is called for again, once, from the last event taken") {
-  Watch();
-  const json drains = Event(2, json::array({First("terminating")}));
-  const json third = Event(3, json::array({Node("s-00000003", first.endpoint(), 1)}));
-  stream->Raw(Told(third));
-  Wire again = Serve(&bulletin, 1);
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "events after a gap are requested again once from the last applied event on") {
+  StartAndServeList();
+  const json drain_event = Event(2, json::array({FirstNode("terminating")}));
+  const json third_event = Event(3, json::array({Node("s-00000003", first.endpoint(), 1)}));
+  stream->Raw(EventText(third_event));
+  Wire new_stream = AcceptStream(&bulletin, 1);
   CHECK(stream->Closed());
   program->Counted("discovery_events", 0);
-  SUBCASE("the bulletin has what was missing") {
-    again.Raw(Told(drains) + Told(third));
+  SUBCASE("discovery has the missing events") {
+    new_stream.Raw(EventText(drain_event) + EventText(third_event));
     program->Counted("discovery_events", 2);
     program->Counted("discovery_gaps", 0);
-    Goes(kTask, &second);
+    ExpectTaskAt(kTask, &second);
   }
-  SUBCASE("it does not have it: what there is counts, on the same stream") {
-    again.Raw(Told(third) + Told(Event(4, json::array({First("terminating")}))));
+  SUBCASE("discovery does not have them: later events are applied from the same stream") {
+    new_stream.Raw(EventText(third_event) + EventText(Event(4, json::array({FirstNode("terminating")}))));
     program->Counted("discovery_events", 2);
     program->Counted("discovery_gaps", 1);
-    Goes(kTask, &second);
+    ExpectTaskAt(kTask, &second);
   }
   program->Counted("discovery_retries", 1);
   program->Counted("discovery_disconnects", 0);
   program->Counted("roster", 3, "size ");
 }
 
-// What happened: the process stood still for longer than a list may be silent. The list had spoken meanwhile;
-// its bytes lay in the socket when the process went on, and it gave the stream up as silent and called again.
-// Why: timers run before the kernel is asked again, and the limit on silence asked the clock alone. What
-// showed it: `counter discovery_silent 5` with `counter discovery_events 0`, the event written and never
-// read.
-TEST_CASE_FIXTURE(Watched, "a list that spoke while the process stood still is not given up as silent") {
-  Watch();
+// Guards against closing a live stream after a pause of the process that is longer than the silence time-out:
+// timers run before sockets are read, and the time-out did not check for bytes that had arrived meanwhile. It
+// showed as `counter discovery_silent 5` with `counter discovery_events 0`.
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "a stream that sent bytes while the process was paused is not closed as silent") {
+  StartAndServeList();
   program->Pause();
-  stream->Raw(Told(Event(2, json::array({First("terminating")}))));
+  stream->Raw(EventText(Event(2, json::array({FirstNode("terminating")}))));
   std::this_thread::sleep_for(std::chrono::milliseconds(1700));
   program->Resume();
   program->Counted("discovery_events", 1);
   CHECK(program->Statistic("discovery_silent") == "0");
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
-TEST_CASE_FIXTURE(Watched, "a bulletin that leaves out every second number is not called again for each") {
-  Watch();
-  const auto all = [this](int from) {
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "a stream that omits every second event is not requested again for each gap") {
+  StartAndServeList();
+  const auto odd_events = [this](int from) {
     std::string text;
     for (int i = from; i < 60; i += 2) {
-      text += Told(Event(i, json::array({Node("s-000001" + std::to_string(i), first.endpoint())})));
+      text += EventText(Event(i, json::array({Node("s-000001" + std::to_string(i), first.endpoint())})));
     }
     return text;
   };
-  stream->Raw(all(3));
-  Wire again = Serve(&bulletin, 1);
-  again.Raw(all(3));
+  stream->Raw(odd_events(3));
+  Wire new_stream = AcceptStream(&bulletin, 1);
+  new_stream.Raw(odd_events(3));
   program->Counted("discovery_events", 29);
   program->Counted("discovery_gaps", 29);
   program->Counted("discovery_retries", 1);
 }
 
-TEST_CASE_FIXTURE(Watched, "a whole list has no gap, and one with a lower number changes nothing") {
-  Watch();
-  stream->Raw(Told(Event(9, {Second(), Node("s-00000003", first.endpoint(), 1)}, true)));
+TEST_CASE_FIXTURE(DiscoveryFixture, "a full list has no gap and events with a lower number change nothing") {
+  StartAndServeList();
+  stream->Raw(EventText(Event(9, {SecondNode(), Node("s-00000003", first.endpoint(), 1)}, true)));
   program->Counted("discovery_events", 1);
   program->Counted("roster", 2, "size ");
-  SUBCASE("a whole list") { stream->Raw(Told(Event(5, {First(), Second()}, true))); }
-  SUBCASE("a change") { stream->Raw(Told(Event(5, json::array({Second("terminated")})))); }
-  stream->Raw(Told(Event(10, json::array({Second("in_service", 4)}))));
+  SUBCASE("a full list") { stream->Raw(EventText(Event(5, {FirstNode(), SecondNode()}, true))); }
+  SUBCASE("a change") { stream->Raw(EventText(Event(5, json::array({SecondNode("terminated")})))); }
+  stream->Raw(EventText(Event(10, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 2);
   program->Counted("roster", 2, "size ");
   program->Counted("discovery_retries", 0);
   program->Counted("discovery_connects", 1);
 }
 
-TEST_CASE_FIXTURE(Watched,
-                  "an entry with a wrong value is left out, the others count and the stream goes on") {
-  Watch();
-  json bad = First();
-  std::string said;
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "an entry with an invalid value is skipped and the other entries are applied") {
+  StartAndServeList();
+  json invalid = FirstNode();
+  std::string problem;
   SUBCASE("an unknown state") {
-    bad["state"] = "lost";
-    said = "state: \"lost\"; write in_service, terminating or terminated";
+    invalid["state"] = "lost";
+    problem = "state: \"lost\"; write in_service, terminating or terminated";
   }
-  SUBCASE("a state that is no word") {
-    bad["state"] = 3;
-    said = "state: 3; write in_service, terminating or terminated";
+  SUBCASE("a state that is not a string") {
+    invalid["state"] = 3;
+    problem = "state: 3; write in_service, terminating or terminated";
   }
   SUBCASE("no uid") {
-    bad.erase("uid");
-    said = "uid: missing; write a name";
+    invalid.erase("uid");
+    problem = "uid: missing; write a name";
   }
-  SUBCASE("an endpoint that is no address") {
-    bad["endpoint"] = "nowhere";
-    said = "endpoint: \"nowhere\"; write an address and a port";
+  SUBCASE("an endpoint that is not an address") {
+    invalid["endpoint"] = "nowhere";
+    problem = "endpoint: \"nowhere\"; write an address and a port";
   }
-  SUBCASE("a start before all times") {
-    bad["boot_ms"] = -5;
-    said = "boot_ms: -5; write a Unix time in milliseconds, or 0";
+  SUBCASE("a negative start time") {
+    invalid["boot_ms"] = -5;
+    problem = "boot_ms: -5; write a Unix time in milliseconds, or 0";
   }
-  SUBCASE("figures that are no numbers") {
-    bad["unasked"] = {"much", nullptr};
-    said = "unasked: [\"much\",null]; write a list of two numbers";
+  SUBCASE("free resources that are not numbers") {
+    invalid["unasked"] = {"much", nullptr};
+    problem = "unasked: [\"much\",null]; write a list of two numbers";
   }
-  SUBCASE("too few figures") {
-    bad["unasked"] = json::array();
-    said = "unasked: []; write a list of two numbers";
+  SUBCASE("free resources without values") {
+    invalid["unasked"] = json::array();
+    problem = "unasked: []; write a list of two numbers";
   }
-  SUBCASE("a group below 0") {
-    bad["pod_group"] = -1;
-    said = "pod_group: -1; write a whole number";
+  SUBCASE("a negative pod group") {
+    invalid["pod_group"] = -1;
+    problem = "pod_group: -1; write a whole number";
   }
-  SUBCASE("no object") {
-    bad = nullptr;
-    said = "entry: null; write an object";
+  SUBCASE("an entry that is not an object") {
+    invalid = nullptr;
+    problem = "entry: null; write an object";
   }
-  const bool named = bad.is_object() && bad.contains("uid");
-  stream->Raw(Told(Event(2, {bad, Node("s-00000003", second.endpoint(), 1)})));
-  program->Logged("bulletin: of event 2 1 entries are left out: roster.targets[0]." + said);
+  const bool has_uid = invalid.is_object() && invalid.contains("uid");
+  stream->Raw(EventText(Event(2, {invalid, Node("s-00000003", second.endpoint(), 1)})));
+  program->Logged("discovery: event 2: 1 invalid entries are skipped: roster.targets[0]." + problem);
   program->Counted("discovery_entries_invalid", 1);
   program->Counted("discovery_events", 1);
   program->Counted("roster", 3, "size ");
-  if (named) {  // also of a whole list: the node is not gone
-    stream->Raw(Told(Event(3, {bad, Second()}, true)));
+  if (has_uid) {  // a full list does not remove the node either
+    stream->Raw(EventText(Event(3, {invalid, SecondNode()}, true)));
     program->Counted("discovery_entries_invalid", 2);
     program->Counted("roster", 2, "size ");
   }
-  Goes(kTask, &first);  // as it was known
-  stream->Raw(Told(Event(4, json::array({First("terminating")}), true)));
+  ExpectTaskAt(kTask, &first);  // with its last known values
+  stream->Raw(EventText(Event(4, json::array({FirstNode("terminating")}), true)));
   program->Counted("roster", 1, "size ");
   program->Counted("discovery_connects", 1);
 }
 
-TEST_CASE_FIXTURE(Watched, "a task on a node whose entry of a whole list is garbled goes on") {
-  Watch();
-  Wire owner = program->Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
-  json bad = First();
-  SUBCASE("its state") { bad["state"] = "lost"; }
-  SUBCASE("its name") { bad["uid"] = 1; }
-  stream->Raw(Told(Event(2, {bad, Second()}, true)));
+TEST_CASE_FIXTURE(DiscoveryFixture, "a task keeps running on a node whose entry in a full list is invalid") {
+  StartAndServeList();
+  Wire client = program->Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "there");
+  client.Hear(Type::kAnswer, kTask);
+  json invalid = FirstNode();
+  SUBCASE("invalid state") { invalid["state"] = "lost"; }
+  SUBCASE("invalid uid") { invalid["uid"] = 1; }
+  stream->Raw(EventText(Event(2, {invalid, SecondNode()}, true)));
   program->Counted("discovery_events", 1);
-  stream->Raw(Told(Event(3, json::array({Second("in_service", 4)}))));
+  stream->Raw(EventText(Event(3, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 2);
   program->Counted("roster", 2, "size ");
-  agent.Say(Type::kRelease, kTask, Cause::kEnded);
-  CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
+  node.Say(Type::kRelease, kTask, Cause::kEnded);
+  CHECK(client.Hear(Type::kRelease, kTask).cause == 16);
   program->Counted("tasks_lost", 0);
 }
 
-TEST_CASE_FIXTURE(Watched, "an event that cannot be read is called for again once, then passed over") {
-  Watch();
-  std::string bad, said;
-  SUBCASE("cut in the middle") {
-    bad = "data: " + Event(2, json::array({First()})).dump().substr(0, 40) + "\n\n";
-    said = "it is no JSON";
+TEST_CASE_FIXTURE(DiscoveryFixture, "an invalid event is requested again once and then skipped") {
+  StartAndServeList();
+  std::string invalid, problem;
+  SUBCASE("truncated") {
+    invalid = "data: " + Event(2, json::array({FirstNode()})).dump().substr(0, 40) + "\n\n";
+    problem = "invalid JSON";
   }
-  SUBCASE("no number") {
-    bad = Told({{"no", "two"}, {"roster", {{"targets", json::array()}}}});
-    said = "no: \"two\"; write a whole number above 0";
+  SUBCASE("invalid number") {
+    invalid = EventText({{"no", "two"}, {"roster", {{"targets", json::array()}}}});
+    problem = "no: \"two\"; write a whole number above 0";
   }
-  SUBCASE("no list") {
-    bad = Told({{"no", 2}, {"roster", {{"targets", "none"}}}});
-    said = "roster.targets: \"none\"; write a list of entries";
+  SUBCASE("invalid list") {
+    invalid = EventText({{"no", 2}, {"roster", {{"targets", "none"}}}});
+    problem = "roster.targets: \"none\"; write a list of entries";
   }
-  SUBCASE("no word on whether it is whole") {
-    bad = Told({{"no", 2}, {"roster", {{"all", 1}, {"targets", json::array()}}}});
-    said = "roster.all: 1; write true or false";
+  SUBCASE("invalid full-list flag") {
+    invalid = EventText({{"no", 2}, {"roster", {{"all", 1}, {"targets", json::array()}}}});
+    problem = "roster.all: 1; write true or false";
   }
-  SUBCASE("deeper than any stack") {
-    bad = "data: " + std::string(1'000'000, '[') + "\n\n";
-    said = "it is no JSON";
+  SUBCASE("nested too deeply") {
+    invalid = "data: " + std::string(1'000'000, '[') + "\n\n";
+    problem = "invalid JSON";
   }
-  stream->Raw(bad);
-  Wire again = Serve(&bulletin, 1);
-  again.Raw(bad);
-  program->Logged("bulletin: the event after 1 is passed over: " + said);
-  again.Raw(Told(Event(3, json::array({First("terminating")}))));  // on the same stream
+  stream->Raw(invalid);
+  Wire new_stream = AcceptStream(&bulletin, 1);
+  new_stream.Raw(invalid);
+  program->Logged("discovery: the event after 1 is skipped: " + problem);
+  new_stream.Raw(EventText(Event(3, json::array({FirstNode("terminating")}))));  // on the same stream
   program->Counted("discovery_events", 1);
   program->Counted("discovery_events_invalid", 1);
   program->Counted("discovery_retries", 1);
   program->Counted("discovery_disconnects", 0);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
-TEST_CASE_FIXTURE(Watched, "a stream that dribbles and says nothing whole is broken off and called again") {
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "a stream without a complete event or comment is closed as stalled and requested again") {
   Start();
-  Wire dribbles = bulletin.Accept();
-  dribbles.Bytes();
+  Wire stalled_stream = bulletin.Accept();
+  stalled_stream.Bytes();
   CHECK(Passes());
-  std::string more = "x";
+  std::string repeated = "x";
   SUBCASE("half an event") {
-    dribbles.Raw(std::string(kStreamHead) + ": here\n\nid: 2\ndata: {\"no\":2,\"roster\":{\"rev\":\"");
+    stalled_stream.Raw(std::string(kStreamHead) + ": here\n\nid: 2\ndata: {\"no\":2,\"roster\":{\"rev\":\"");
   }
-  SUBCASE("an event without end, line by line") {
-    dribbles.Raw(std::string(kStreamHead) + ": here\n\n");
-    more = "data: x\n";
+  SUBCASE("an endless event, line by line") {
+    stalled_stream.Raw(std::string(kStreamHead) + ": here\n\n");
+    repeated = "data: x\n";
   }
-  SUBCASE("lines that mean nothing") {
-    dribbles.Raw(std::string(kStreamHead));
-    more = "retry: 1\n\n";
+  SUBCASE("fields that are ignored") {
+    stalled_stream.Raw(std::string(kStreamHead));
+    repeated = "retry: 1\n\n";
   }
-  SUBCASE("half an answer") { dribbles.Raw("HTTP/1.1 200 OK\r\nX-More: "); }
-  Dribble(&dribbles, more);
+  SUBCASE("half a response head") { stalled_stream.Raw("HTTP/1.1 200 OK\r\nX-More: "); }
+  SendUntilClosed(&stalled_stream, repeated);
   program->Counted("discovery_stalled", 1);
-  Wire again = Serve(&bulletin, 1);
-  again.Raw(Told(Event(2, json::array({First("terminating")}))));
+  Wire new_stream = AcceptStream(&bulletin, 1);
+  new_stream.Raw(EventText(Event(2, json::array({FirstNode("terminating")}))));
   program->Counted("discovery_events", 1);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
-TEST_CASE_FIXTURE(Watched, "a stream that ends while its connection stays up is called again") {
+TEST_CASE_FIXTURE(DiscoveryFixture, "a stream that ends while its connection stays up is requested again") {
   Start();
-  Wire ends = bulletin.Accept();
-  ends.Bytes();
+  Wire ending_stream = bulletin.Accept();
+  ending_stream.Bytes();
   CHECK(Passes());
   SUBCASE("chunked") {
-    ends.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n: here\n\r\n0\r\n\r\n");
+    ending_stream.Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n7\r\n: here\n\r\n0\r\n\r\n");
   }
-  SUBCASE("of a length") { ends.Raw("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n: here\n"); }
-  program->Logged("bulletin: the stream has ended");
-  CHECK(ends.Closed());
-  Serve(&bulletin, 1);
+  SUBCASE("with a content length") {
+    ending_stream.Raw("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n: here\n");
+  }
+  program->Logged("discovery: the stream has ended");
+  CHECK(ending_stream.Closed());
+  AcceptStream(&bulletin, 1);
 }
 
-TEST_CASE_FIXTURE(Watched, "a line or an event beyond all bounds ends the stream, what it held is let go") {
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "a line or an event above the size limit ends the stream and is discarded") {
   Start();
-  Wire floods = bulletin.Accept();
-  floods.Bytes();
+  Wire long_stream = bulletin.Accept();
+  long_stream.Bytes();
   CHECK(Passes());
-  floods.Raw(std::string(kStreamHead) + ": here\n\n");
-  constexpr std::size_t kPiece = 64 * 1024, kPieces = 64;  // together the bound
+  long_stream.Raw(std::string(kStreamHead) + ": here\n\n");
+  constexpr std::size_t kPiece = 64 * 1024, kPieces = 64;  // together the limit
   const std::string piece(kPiece, 'x');
-  std::string more = piece, last = piece;
+  std::string repeated = piece, last = piece;
   SUBCASE("a line") {
-    floods.Raw("data: ");
+    long_stream.Raw("data: ");
     last.resize(kPiece - 6);
   }
   SUBCASE("lines of an event") {
-    more = "data: " + piece + "\n";
-    last = "data: " + piece.substr(0, kPiece - 6 - (kPieces - 2));  // the lines before are joined
+    repeated = "data: " + piece + "\n";
+    last =
+        "data: " + piece.substr(0, kPiece - 6 - (kPieces - 2));  // the earlier lines are joined with newlines
   }
-  for (std::size_t i = 1; i < kPieces; ++i) floods.Raw(more);
-  floods.Raw(last);
+  for (std::size_t i = 1; i < kPieces; ++i) long_stream.Raw(repeated);
+  long_stream.Raw(last);
   CHECK(Passes());
   program->Counted("discovery_oversized", 0);
-  floods.Raw("x");
-  program->Logged("bulletin: an event is too large");
+  long_stream.Raw("x");
+  program->Logged("discovery: an event is too large");
   program->Counted("discovery_oversized", 1);
-  Serve(&bulletin, 1);
+  AcceptStream(&bulletin, 1);
 }
 
-TEST_CASE_FIXTURE(Watched, "of two entries of one node the later counts, and a node may come back") {
-  Watch();
-  stream->Raw(Told(Event(2, {First("in_service"), First("terminated")})));
+TEST_CASE_FIXTURE(DiscoveryFixture,
+                  "the later of two entries of a node applies and a removed node may return") {
+  StartAndServeList();
+  stream->Raw(EventText(Event(2, {FirstNode("in_service"), FirstNode("terminated")})));
   program->Counted("roster", 1, "size ");
-  Goes(kTask, &second);
-  stream->Raw(Told(Event(3, {First("terminated"), First("in_service", 9), Second("terminating")})));
+  ExpectTaskAt(kTask, &second);
+  stream->Raw(
+      EventText(Event(3, {FirstNode("terminated"), FirstNode("in_service", 9), SecondNode("terminating")})));
   program->Counted("roster", 2, "size ");
-  Goes(kOther, &first);
-  stream->Raw(Told(Event(4, {First("terminated"), First("in_service", 8)})));
+  ExpectTaskAt(kOther, &first);
+  stream->Raw(EventText(Event(4, {FirstNode("terminated"), FirstNode("in_service", 8)})));
   program->Counted("discovery_events", 3);
   program->Counted("roster", 2, "size ");
 }
--- a/tests/crossing_move_test.cpp
+++ b/tests/crossing_move_test.cpp
@@ -5,7 +5,7 @@
 namespace cluster_manager::story {
 namespace {
 
-struct Moved : Watched {
+struct Moved : DiscoveryFixture {
   Port fresh;
 
   void Configure(const std::string& bulletin_at, const json& items = json::array()) {
@@ -18,28 +18,29 @@
 };
 
 TEST_CASE_FIXTURE(Moved, "what an old stream said with the move counts once, what it says later not at all") {
-  Watch();
-  const json drains = Event(2, json::array({First("terminating")}));
+  StartAndServeList();
+  const json drains = Event(2, json::array({FirstNode("terminating")}));
   program->Signal(SIGSTOP);
-  stream->Raw(Told(drains));
+  stream->Raw(EventText(drains));
   Configure(fresh.endpoint());
   program->Signal(SIGCONT);
-  program->Logged("configuration read again");
+  program->Logged("configuration reloaded");
   Wire next = fresh.Accept();
   const std::string call = next.Bytes();
   // Read before or after the signal: the new stream is called for from there on.
   const bool heard = call.find("Last-Event-ID: 2\r\n") != std::string::npos;
   CHECK((heard || call.find("Last-Event-ID: 1\r\n") != std::string::npos));
   CHECK(stream->Closed());
-  next.Raw(std::string(kStreamHead) + Told(drains) + Told(Event(3, json::array({Second("in_service", 4)}))));
+  next.Raw(std::string(kStreamHead) + EventText(drains) +
+           EventText(Event(3, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 2);
   program->Counted("discovery_retries", 0);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
 TEST_CASE_FIXTURE(Moved, "half an event of the old stream is not continued by the new one") {
-  Watch();
-  const std::string event = Told(Event(2, json::array({First("terminating")})));
+  StartAndServeList();
+  const std::string event = EventText(Event(2, json::array({FirstNode("terminating")})));
   stream->Raw(event.substr(0, 30));
   CHECK(Passes());
   Configure(fresh.endpoint());
@@ -50,21 +51,21 @@
   next.Raw(event);
   program->Counted("discovery_events", 1);
   program->Counted("discovery_events_invalid", 0);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
 TEST_CASE_FIXTURE(Moved, "a list that moves while the old one is out of reach is read at once") {
-  Watch();
+  StartAndServeList();
   bulletin.Close();
   stream->Close();
   program->Counted("discovery_disconnects", 4);  // the pause before the next call is 0.8 s and more
   Configure(fresh.endpoint());
   CHECK(fresh.Dialled(500));
-  Wire next = Serve(&fresh, 1);
-  next.Raw(Told(Event(2, json::array({First("terminating")}))));
+  Wire next = AcceptStream(&fresh, 1);
+  next.Raw(EventText(Event(2, json::array({FirstNode("terminating")}))));
   program->Counted("discovery_events", 1);
   program->Counted("discovery_connects", 2);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
   // The call that the module makes in the end is answered by the stream that is there.
   for (int i = 0; i < 8; ++i) {
     next.Raw(": here\n\n");
@@ -73,36 +74,36 @@
 }
 
 TEST_CASE_FIXTURE(Moved, "what a new file knows is told once, the stream that says it again is not heard") {
-  Watch();
-  const json drains = Event(2, json::array({First("terminating")}));
-  Configure(bulletin.endpoint(), {Event(1, {First(), Second()}, true), drains});
-  program->Logged("configuration read again");
-  Goes(kTask, &second);
-  stream->Raw(Told(drains) + Told(Event(3, json::array({Second("in_service", 4)}))));
+  StartAndServeList();
+  const json drains = Event(2, json::array({FirstNode("terminating")}));
+  Configure(bulletin.endpoint(), {Event(1, {FirstNode(), SecondNode()}, true), drains});
+  program->Logged("configuration reloaded");
+  ExpectTaskAt(kTask, &second);
+  stream->Raw(EventText(drains) + EventText(Event(3, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 1);
   program->Counted("discovery_connects", 1);
 }
 
 TEST_CASE_FIXTURE(Moved, "what a new file leaves out between two events is brought by the stream") {
-  Watch();
-  const json drains = Event(2, json::array({First("terminating")}));
+  StartAndServeList();
+  const json drains = Event(2, json::array({FirstNode("terminating")}));
   const json third = Event(3, json::array({Node("s-00000003", first.endpoint(), 1)}));
   Configure(bulletin.endpoint(), json::array({third}));
-  program->Logged("configuration read again");
-  stream->Raw(Told(drains) + Told(third));
+  program->Logged("configuration reloaded");
+  stream->Raw(EventText(drains) + EventText(third));
   program->Counted("discovery_events", 2);
   program->Counted("roster", 3, "size ");
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
 TEST_CASE_FIXTURE(Moved,
                   "a file whose list has a wrong value changes nothing, settings and address included") {
-  Watch();
+  StartAndServeList();
   json config = program->config();
   config["bulletin"] = fresh.endpoint();
   config["settings"]["Services"][0]["Name"] = "batch";
   json& items = config["known"]["items"];
-  items.push_back(Event(2, {First("terminating"), Second()}));
+  items.push_back(Event(2, {FirstNode("terminating"), SecondNode()}));
   std::string said;
   SUBCASE("an unknown state") {
     items[1]["roster"]["targets"][1]["state"] = "lost";
@@ -130,14 +131,14 @@
   }
   program->Configure(config.dump());
   program->Signal(SIGHUP);
-  program->Logged("configuration not read again");
+  program->Logged("configuration reload failed");
   program->Logged(said);
   CHECK_FALSE(fresh.Dialled());
   Wire owner = program->Owner();
   Ask(&owner, kTask, "batch");
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 47);
-  Goes(kOther, &first);
-  stream->Raw(Told(Event(2, json::array({Second("in_service", 4)}))));
+  ExpectTaskAt(kOther, &first);
+  stream->Raw(EventText(Event(2, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 1);
   program->Counted("discovery_connects", 1);
 }
