--- a/tests/crossing_shutdown_test.cpp
+++ b/tests/crossing_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// What crosses a planned restart, or a drain: each story forces one order of two events.
+// Events that coincide with a graceful shutdown or a drain. Each test forces one order of two events.
 #include <chrono>
 #include <optional>
 
@@ -8,310 +8,312 @@
 namespace cluster_manager::story {
 namespace {
 
-std::string SetUpBytes(TaskId task) {
+std::string RequestBytes(TaskId task) {
   std::string bytes;
-  protocol::Writer w(&bytes, Type::kSetUp, task);
-  w.Add(Code::kClass, "unsafe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-  w.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
-  w.Add(Code::kDescription, "run");
+  protocol::Writer writer(&bytes, Type::kSetUp, task);
+  writer.Add(Code::kClass, "unsafe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
+  writer.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+  writer.Add(Code::kDescription, "run");
   return bytes;
 }
-std::string TestBytes(TaskId task) {
+std::string HealthCheckBytes(TaskId task) {
   std::string bytes;
   protocol::Writer(&bytes, Type::kTest, task).Add(Cause::kTestFailed);
   return bytes;
 }
 
-// How long the process takes new connections after SIGTERM at most, and far more than its last look takes.
-constexpr int kPastLastArrivals = 1000;
+// Longer than the process accepts new connections after SIGTERM, and than it takes to notice that.
+constexpr int kAfterLastConnectionMs = 1000;
 
-struct Restarted : Site {
-  // The next agent's connection hears of the task, says that it stands, and the owner reads so.
-  void Serve(Wire* owner, TaskId task) {
-    Wire agent = first.Accept();
-    agent.Hear(Type::kSetUp, task);
-    agent.Answer(task, "there");
-    CHECK(owner->Hear(Type::kAnswer, task).description == "there");
+struct ShutdownFixture : Site {
+  // The node receives the task on a new connection and accepts it, and the client receives the answer.
+  void ExpectServed(Wire* client, TaskId task) {
+    Wire node = first.Accept();
+    node.Hear(Type::kSetUp, task);
+    node.Answer(task, "there");
+    CHECK(client->Hear(Type::kAnswer, task).description == "there");
   }
   void Terminate() {
     program->Signal(SIGTERM);
     program->Logged("stopping");
-    terminated = std::chrono::steady_clock::now();
+    terminated_at = std::chrono::steady_clock::now();
   }
-  // Long before an end that nobody hears is given up, after 30 s.
-  void Ends() {
+  // Checks that the process exits long before undelivered completions expire, after 30 s.
+  void ExpectExit() {
     CHECK(program->ExitStatus() == 0);
-    if (terminated)
-      CHECK(std::chrono::steady_clock::now() - *terminated < std::chrono::milliseconds(kLimitMs));
+    if (terminated_at)
+      CHECK(std::chrono::steady_clock::now() - *terminated_at < std::chrono::milliseconds(kLimitMs));
   }
 
-  std::optional<std::chrono::steady_clock::time_point> terminated;
+  std::optional<std::chrono::steady_clock::time_point> terminated_at;
 };
 
-TEST_CASE_FIXTURE(Restarted, "a set-up that comes in the turn of SIGTERM is served") {
+TEST_CASE_FIXTURE(ShutdownFixture, "a request that arrives in the loop iteration of SIGTERM is served") {
   Start();
-  Wire open = program->Owner();
-  open.NothingElse();
+  Wire open_connection = program->Owner();
+  open_connection.NothingElse();
   program->Signal(SIGSTOP);
-  Wire owner = program->Owner();  // this one waits in the listener's queue
+  Wire client = program->Owner();  // in the accept queue
   SUBCASE("on an open connection, before the signal") {
-    open.Raw(SetUpBytes(kTask));
+    open_connection.Raw(RequestBytes(kTask));
     program->Signal(SIGTERM);
-    std::swap(open, owner);
+    std::swap(open_connection, client);
   }
   SUBCASE("on an open connection, after the signal") {
     program->Signal(SIGTERM);
-    open.Raw(SetUpBytes(kTask));
-    std::swap(open, owner);
+    open_connection.Raw(RequestBytes(kTask));
+    std::swap(open_connection, client);
   }
   SUBCASE("on a connection that was not accepted yet") {
-    owner.Raw(SetUpBytes(kTask));
+    client.Raw(RequestBytes(kTask));
     program->Signal(SIGTERM);
   }
   program->Signal(SIGCONT);
-  Serve(&owner, kTask);
-  Ends();
+  ExpectServed(&client, kTask);
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "a connection that waits to be accepted as the listener closes is served") {
+TEST_CASE_FIXTURE(ShutdownFixture, "a connection in the accept queue is served when the listener closes") {
   Start();
   Terminate();
   program->Signal(SIGSTOP);
-  Wire owner = program->Owner();
-  bool written = true;
-  SUBCASE("with its set-up") { owner.Raw(SetUpBytes(kTask)); }
-  SUBCASE("with its set-up on the way") { written = false; }
-  CHECK_FALSE(owner.Readable(kPastLastArrivals));
-  program->Signal(SIGCONT);  // its time to close the listener is over before it can look at it
-  if (!written) {
-    program->Counted("client_connections", 1);  // accepted, and all else is settled
-    owner.Raw(SetUpBytes(kTask));
+  Wire client = program->Owner();
+  bool request_sent = true;
+  SUBCASE("with its request") { client.Raw(RequestBytes(kTask)); }
+  SUBCASE("with its request still to come") { request_sent = false; }
+  CHECK_FALSE(client.Readable(kAfterLastConnectionMs));
+  program->Signal(SIGCONT);  // the time to close the listener has passed when the process resumes
+  if (!request_sent) {
+    program->Counted("client_connections", 1);  // accepted, with no request unanswered
+    client.Raw(RequestBytes(kTask));
   }
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  CHECK_FALSE(owner.Readable(400));  // not even closed: longer than any last words
-  agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
-  Ends();
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  CHECK_FALSE(client.Readable(400));  // not closed either: longer than the flush period
+  node.Answer(kTask, "there");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "a set-up that is unread as all else is settled is served") {
+TEST_CASE_FIXTURE(ShutdownFixture, "an unread request is served when no other request is unanswered") {
   Start();
-  Wire owner = program->Owner();
-  owner.NothingElse();
+  Wire client = program->Owner();
+  client.NothingElse();
   Terminate();
   program->Signal(SIGSTOP);
-  owner.Raw(SetUpBytes(kTask));
-  CHECK_FALSE(owner.Readable(kPastLastArrivals));
+  client.Raw(RequestBytes(kTask));
+  CHECK_FALSE(client.Readable(kAfterLastConnectionMs));
   program->Signal(SIGCONT);
-  Serve(&owner, kTask);
-  Ends();
+  ExpectServed(&client, kTask);
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "a set-up that is half read at SIGTERM is served once it is whole") {
+TEST_CASE_FIXTURE(ShutdownFixture, "a request that is partly read at SIGTERM is served once it is complete") {
   Start();
-  Wire owner = program->Owner();
-  const std::string bytes = SetUpBytes(kTask);
-  owner.Raw(TestBytes(1) + bytes.substr(0, bytes.size() / 2));
-  owner.Hear(Type::kTestResult, 1);  // so that the half behind it has been read
+  Wire client = program->Owner();
+  const std::string bytes = RequestBytes(kTask);
+  client.Raw(HealthCheckBytes(1) + bytes.substr(0, bytes.size() / 2));
+  client.Hear(Type::kTestResult, 1);  // so the first half of the request has been read
   Terminate();
-  CHECK_FALSE(owner.Readable(kPastLastArrivals));
-  owner.Raw(bytes.substr(bytes.size() / 2));
-  Serve(&owner, kTask);
-  Ends();
+  CHECK_FALSE(client.Readable(kAfterLastConnectionMs));
+  client.Raw(bytes.substr(bytes.size() / 2));
+  ExpectServed(&client, kTask);
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "a set-up that is never finished does not keep the process") {
+TEST_CASE_FIXTURE(ShutdownFixture, "an incomplete request does not delay the exit of the process") {
   Start();
-  Wire owner = program->Owner();
-  owner.Raw(TestBytes(1) + SetUpBytes(kTask).substr(0, 20));
-  owner.Hear(Type::kTestResult, 1);
+  Wire client = program->Owner();
+  client.Raw(HealthCheckBytes(1) + RequestBytes(kTask).substr(0, 20));
+  client.Hear(Type::kTestResult, 1);
   Terminate();
   SUBCASE("nothing more comes") {}
-  SUBCASE("one byte more") { owner.Raw(SetUpBytes(kTask).substr(20, 1)); }
-  CHECK(owner.Closed());
-  Ends();
+  SUBCASE("one byte more") { client.Raw(RequestBytes(kTask).substr(20, 1)); }
+  CHECK(client.Closed());
+  ExpectExit();
 }
 
-// What happened: a client went on asking on its open connection after SIGTERM, as clients may until the kill.
-// The process never ended by itself, and what it had taken and not answered at SIGKILL was lost. Why: it
-// waited until no request was open, and each new one put off the end; nothing knew when SIGKILL comes. What
-// showed it: on the code before, the test asks for 30 s in vain.
-TEST_CASE_FIXTURE(Restarted, "a client that goes on asking after SIGTERM does not keep the process") {
+// Guards against a shutdown without an end: the process waited until no request was unanswered, so a client
+// that kept sending requests on its open connection, as clients may until SIGKILL, delayed the exit without
+// limit, and the requests unanswered at SIGKILL were lost.
+TEST_CASE_FIXTURE(ShutdownFixture,
+                  "a client that keeps sending requests after SIGTERM does not delay the exit") {
   Start();
-  Wire owner = program->Owner();
-  owner.NothingElse();
+  Wire client = program->Owner();
+  client.NothingElse();
   Terminate();
-  // One may cross the close, and is sent again elsewhere.
-  CHECK(AskUntilClosed(&owner, {&first, &second}) <= 1);
-  Ends();
+  // At most one request may cross the close; the client sends it again elsewhere.
+  CHECK(AskUntilClosed(&client, {&first, &second}) <= 1);
+  ExpectExit();
 }
 
 TEST_CASE_FIXTURE(
-    Restarted,
-    "answers that are half written at SIGTERM come whole, and who never reads does not keep the process") {
+    ShutdownFixture,
+    "answers queued at SIGTERM arrive completely and a client that never reads does not delay the exit") {
   Start();
-  Wire owner = program->Owner();
-  owner.Narrow();
-  // More answers than the machine takes: some stay in the program, which reads no further.
-  constexpr TaskId kMany = 500'000;
-  std::string tests;
-  for (TaskId i = 1; i <= kMany; ++i) tests += TestBytes(i);
-  owner.Raw(tests);
+  Wire client = program->Owner();
+  client.Narrow();
+  // More answers than the sockets hold: some stay in the write queue, and the process stops reading.
+  constexpr TaskId kChecks = 500'000;
+  std::string checks;
+  for (TaskId i = 1; i <= kChecks; ++i) checks += HealthCheckBytes(i);
+  client.Raw(checks);
   Terminate();
-  SUBCASE("read from then on") {
-    for (TaskId i = 1; i <= kMany; ++i) REQUIRE(owner.Hear().task == i);
-    CHECK(owner.Closed());
+  SUBCASE("the client reads from then on") {
+    for (TaskId i = 1; i <= kChecks; ++i) REQUIRE(client.Hear().task == i);
+    CHECK(client.Closed());
   }
-  SUBCASE("never read") {}
-  Ends();
+  SUBCASE("the client never reads") {}
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "a release that nobody is connected to hear does not keep the process") {
+TEST_CASE_FIXTURE(ShutdownFixture, "a completion without a connected client does not delay the exit") {
   Start();
-  Wire owner = program->Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
-  owner.Close();
+  Wire client = program->Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "there");
+  client.Hear(Type::kAnswer, kTask);
+  client.Close();
   program->Counted("client_closes", 1);
-  agent.Say(Type::kRelease, kTask, Cause::kEnded);
+  node.Say(Type::kRelease, kTask, Cause::kEnded);
   program->Counted("completions_queued", 1);
   Terminate();
-  Ends();
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "a second SIGTERM, or SIGINT after it, changes nothing") {
+TEST_CASE_FIXTURE(ShutdownFixture, "a second SIGTERM or a later SIGINT changes nothing") {
   Start();
-  Wire owner = program->Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire client = program->Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   Terminate();
   for (const int number : {SIGTERM, SIGINT, SIGTERM}) program->Signal(number);
-  agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
-  Ends();
+  node.Answer(kTask, "there");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  ExpectExit();
 }
 
-TEST_CASE_FIXTURE(Restarted, "SIGHUP with a bad file after SIGTERM, or in its turn, costs no request") {
+TEST_CASE_FIXTURE(ShutdownFixture, "a failed reload at or after SIGTERM loses no request") {
   Start();
-  Wire owner = program->Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire client = program->Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   program->Configure("{\"name\":");
-  SUBCASE("after it") {
+  SUBCASE("after SIGTERM") {
     Terminate();
     program->Signal(SIGHUP);
-    program->Logged("configuration not read again");
+    program->Logged("configuration reload failed");
   }
-  SUBCASE("in its turn") {
+  SUBCASE("in the loop iteration of SIGTERM") {
     program->Signal(SIGSTOP);
     program->Signal(SIGHUP);
     program->Signal(SIGTERM);
     program->Signal(SIGCONT);
   }
-  agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
-  Ends();
+  node.Answer(kTask, "there");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  ExpectExit();
 }
 
-struct Drained : Operated {
-  void Stands(Wire* agent, Wire* owner, TaskId task) {
-    agent->Hear(Type::kSetUp, task);
-    agent->Answer(task, "there");
-    CHECK(owner->Hear(Type::kAnswer, task).description == "there");
+struct DrainFixture : Operated {
+  void ExpectAccepted(Wire* node, Wire* client, TaskId task) {
+    node->Hear(Type::kSetUp, task);
+    node->Answer(task, "there");
+    CHECK(client->Hear(Type::kAnswer, task).description == "there");
   }
 };
 
-TEST_CASE_FIXTURE(Drained, "a drain and then SIGTERM: who comes is served, and the process ends") {
+TEST_CASE_FIXTURE(DrainFixture, "after a drain and SIGTERM a new client is served and the process exits") {
   Program& program = Start(false);
   const int port = program.admin_port();
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   program.Signal(SIGTERM);
-  program.Logged("stopping: 1 requests");
-  Wire late = program.Owner();
-  CHECK_FALSE(Passes(&late));
-  Ask(&late, kOther, "unsafe");
-  Wire another = first.Accept();
-  Stands(&another, &late, kOther);
-  agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  program.Logged("stopping: 1 unanswered requests");
+  Wire late_client = program.Owner();
+  CHECK_FALSE(Passes(&late_client));
+  Ask(&late_client, kOther, "unsafe");
+  Wire other_node = first.Accept();
+  ExpectAccepted(&other_node, &late_client, kOther);
+  node.Answer(kTask, "there");
+  client.Hear(Type::kAnswer, kTask);
   program.Logged("size deadlines ");
   CHECK(program.ExitStatus() == 0);
 }
 
-TEST_CASE_FIXTURE(Drained, "after SIGTERM a drain changes nothing, and activate is answered with a no") {
+TEST_CASE_FIXTURE(DrainFixture, "after SIGTERM a drain changes nothing and activate is rejected") {
   Program& program = Start(false);
   const int port = program.admin_port();
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   program.Signal(SIGTERM);
-  program.Logged("stopping: 1 requests");
+  program.Logged("stopping: 1 unanswered requests");
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   CHECK(Post(port, "/v1/cluster-manager/activate").status == 503);
   CHECK(Get(port, "/v1/readyz").status == 503);
-  owner.NothingElse();  // and it is open
-  agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  client.NothingElse();  // the connection is still open
+  node.Answer(kTask, "there");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
   program.Logged("size deadlines ");
   CHECK(program.ExitStatus() == 0);
 }
 
-TEST_CASE_FIXTURE(Drained, "new settings and then a drain: an open request keeps its class and its answer") {
+TEST_CASE_FIXTURE(DrainFixture,
+                  "after new settings and a drain an open request keeps its class and is answered") {
   Program& program = Start(false);
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   json config = program.config();
   config["settings"]["Services"].erase(2);
   program.Configure(config.dump());
   program.Signal(SIGHUP);
   program.Logged("1 dropped");
   CHECK(Post(program.admin_port(), "/v1/cluster-manager/drain").yes());
-  agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
-  agent.Say(Type::kRelease, kTask, Cause::kEnded);
-  CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
-  CHECK(owner.Closed());
+  node.Answer(kTask, "there");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  node.Say(Type::kRelease, kTask, Cause::kEnded);
+  CHECK(client.Hear(Type::kRelease, kTask).cause == 16);
+  CHECK(client.Closed());
 }
 
-TEST_CASE_FIXTURE(Drained, "a set-up that crosses a drain's close is served once, on a new connection") {
+TEST_CASE_FIXTURE(DrainFixture,
+                  "a request that crosses the close of a drain is served once on a new connection") {
   Program& program = Start(false);
-  Wire owner = program.Owner();
-  CHECK(Passes(&owner));
+  Wire client = program.Owner();
+  CHECK(Passes(&client));
   CHECK(Post(program.admin_port(), "/v1/cluster-manager/drain").yes());
-  REQUIRE(owner.Readable(kLimitMs));  // its close, which the owner has not looked at
-  owner.Raw(SetUpBytes(kTask));
-  CHECK(owner.Closed());
-  Wire again = program.Owner();
-  again.Raw(SetUpBytes(kTask));
-  Wire agent = first.Accept();
-  Stands(&agent, &again, kTask);
+  REQUIRE(client.Readable(kLimitMs));  // the close, which the client has not read
+  client.Raw(RequestBytes(kTask));
+  CHECK(client.Closed());
+  Wire new_connection = program.Owner();
+  new_connection.Raw(RequestBytes(kTask));
+  Wire node = first.Accept();
+  ExpectAccepted(&node, &new_connection, kTask);
   program.Counted("requests_received", 1);
 }
 
-TEST_CASE_FIXTURE(Drained, "a set-up that is unread as a drain closes what is quiet keeps its connection") {
+TEST_CASE_FIXTURE(DrainFixture, "a connection with an unread request is not closed by a drain") {
   Program& program = Start(false);
-  Wire owner = program.Owner();
-  CHECK(Passes(&owner));
-  Wire call = Wire::To(program.admin_port());
+  Wire client = program.Owner();
+  CHECK(Passes(&client));
+  Wire admin_call = Wire::To(program.admin_port());
   program.Signal(SIGSTOP);
-  call.Raw("POST /v1/cluster-manager/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-  owner.Raw(SetUpBytes(kTask));
+  admin_call.Raw("POST /v1/cluster-manager/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+  client.Raw(RequestBytes(kTask));
   program.Signal(SIGCONT);
-  Wire agent = first.Accept();
-  Stands(&agent, &owner, kTask);
+  Wire node = first.Accept();
+  ExpectAccepted(&node, &client, kTask);
 }
 
 }  // namespace
--- a/tests/crossing_site.h
+++ b/tests/crossing_site.h
@@ -112,10 +112,10 @@
     program->Owner().NothingElse();  // it is at work: a signal before that would end it
   }
   // The list says so; the program has not necessarily read it.
-  void Tell(const json& nodes) { list.Tell(nodes); }
+  void Tell(const json& nodes) { list.AddEvent(nodes); }
   void TellAndWait(const json& nodes) {
     Tell(nodes);
-    program->Counted("discovery_events", list.told());
+    program->Counted("discovery_events", list.event_count());
   }
   int Count(const std::string& counter) { return std::stoi(program->Statistic(counter)); }
   // The list tells of ever other room at the first node: a refusal for want of cores counts for a while.
--- a/tests/crossing_startup_test.cpp
+++ b/tests/crossing_startup_test.cpp
@@ -1,4 +1,4 @@
-// A start that is interrupted by signals, and what a process that has just started says to a test.
+// Signals during the start of a process, and its answers to health checks before and after it is ready.
 #include <fcntl.h>
 #include <sys/stat.h>
 
@@ -7,11 +7,11 @@
 namespace cluster_manager::story {
 namespace {
 
-// A process whose start waits for its configuration, which comes through a pipe with a name.
-class HeldStart {
+// A process whose start blocks until its configuration arrives through a named pipe.
+class BlockedStart {
  public:
-  HeldStart(const Port& bulletin, const Port& agent) {
-    const json nodes = json::array({Node("s-00000001", agent.endpoint())});
+  BlockedStart(const Port& bulletin, const Port& node) {
+    const json nodes = json::array({Node("s-00000001", node.endpoint())});
     config_ = {{"name", "n0"},
                {"listen", "127.0.0.1:0"},
                {"seed", "8c1f30d27a5be964"},
@@ -38,7 +38,7 @@
     ::close(log[1]);
     log_ = log[0];
   }
-  ~HeldStart() {
+  ~BlockedStart() {
     if (process_ > 0) {
       ::kill(process_, SIGKILL);
       ::waitpid(process_, nullptr, 0);
@@ -46,11 +46,11 @@
     ::close(log_);
     std::filesystem::remove_all(folder_);
   }
-  HeldStart(const HeldStart&) = delete;
-  HeldStart& operator=(const HeldStart&) = delete;
+  BlockedStart(const BlockedStart&) = delete;
+  BlockedStart& operator=(const BlockedStart&) = delete;
 
-  // The process has begun to read its configuration, and waits for it.
-  void BeginsToRead() {
+  // Returns when the process has opened its configuration and waits for the content.
+  void WaitUntilConfigOpened() {
     writer_ = ::open(pipe().c_str(), O_WRONLY | O_CLOEXEC);
     REQUIRE(writer_ >= 0);
   }
@@ -60,21 +60,21 @@
     ::close(std::exchange(writer_, -1));
   }
   void Signal(int number) const { ::kill(process_, number); }
-  // The rest of the next line that holds `text`; empty where the log ends before it.
+  // The rest of the next log line that holds `text`; empty where the log ends first.
   std::string Logged(const std::string& text) {
     while (true) {
-      for (std::size_t end = read_.find('\n'); end != std::string::npos; end = read_.find('\n')) {
-        const std::string line = read_.substr(0, end);
-        read_.erase(0, end + 1);
+      for (std::size_t end = unread_log_.find('\n'); end != std::string::npos; end = unread_log_.find('\n')) {
+        const std::string line = unread_log_.substr(0, end);
+        unread_log_.erase(0, end + 1);
         const std::size_t at = line.find(text);
         if (at != std::string::npos) return line.substr(at + text.size());
       }
-      pollfd wait{log_, POLLIN, 0};
-      REQUIRE_MESSAGE(::poll(&wait, 1, kLimitMs) > 0, "never logged: " << text);
+      pollfd poll_request{log_, POLLIN, 0};
+      REQUIRE_MESSAGE(::poll(&poll_request, 1, kLimitMs) > 0, "never logged: " << text);
       char bytes[4096];
-      const ssize_t got = ::read(log_, bytes, sizeof bytes);
-      if (got <= 0) return "";
-      read_.append(bytes, static_cast<std::size_t>(got));
+      const ssize_t received = ::read(log_, bytes, sizeof bytes);
+      if (received <= 0) return "";
+      unread_log_.append(bytes, static_cast<std::size_t>(received));
     }
   }
   int ExitStatus() {
@@ -90,84 +90,87 @@
   std::filesystem::path folder_;
   pid_t process_ = -1;
   int log_ = -1, writer_ = -1;
-  std::string read_;
+  std::string unread_log_;
 };
 
-TEST_CASE_FIXTURE(Site, "SIGTERM in the middle of the start is a planned restart and no death") {
-  HeldStart start(bulletin, first);
-  start.BeginsToRead();
+TEST_CASE_FIXTURE(Site, "SIGTERM during the start leads to a graceful shutdown") {
+  BlockedStart start(bulletin, first);
+  start.WaitUntilConfigOpened();
   start.Signal(SIGTERM);
   start.Configure();
   const std::string port = start.Logged("listens on 127.0.0.1:");
   REQUIRE_FALSE(port.empty());
-  Wire owner = Wire::To(std::stoi(port));  // who comes is still served
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  Wire client = Wire::To(std::stoi(port));  // a client that connects is still served
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "there");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
   CHECK(start.ExitStatus() == 0);
 }
 
-TEST_CASE_FIXTURE(Site, "SIGHUP in the middle of the start is a reload and no death") {
-  HeldStart start(bulletin, first);
-  start.BeginsToRead();
+TEST_CASE_FIXTURE(Site, "SIGHUP during the start leads to a reload") {
+  BlockedStart start(bulletin, first);
+  start.WaitUntilConfigOpened();
   start.Signal(SIGHUP);
   start.Configure();
   const std::string port = start.Logged("listens on 127.0.0.1:");
   REQUIRE_FALSE(port.empty());
-  start.BeginsToRead();
+  start.WaitUntilConfigOpened();
   start.Configure();
-  CHECK_FALSE(start.Logged("configuration read again").empty());
-  Wire owner = Wire::To(std::stoi(port));
-  CHECK(Passes(&owner));
+  CHECK_FALSE(start.Logged("configuration reloaded").empty());
+  Wire client = Wire::To(std::stoi(port));
+  CHECK(Passes(&client));
 }
 
-TEST_CASE_FIXTURE(Site, "SIGUSR1 in the middle of the start prints the counters and is no death") {
-  HeldStart start(bulletin, first);
-  start.BeginsToRead();
+TEST_CASE_FIXTURE(Site, "SIGUSR1 during the start prints the counters") {
+  BlockedStart start(bulletin, first);
+  start.WaitUntilConfigOpened();
   start.Signal(SIGUSR1);
   start.Configure();
   CHECK_FALSE(start.Logged("listens on 127.0.0.1:").empty());
   CHECK(start.Logged("counter requests_received ") == "0");
 }
 
-TEST_CASE_FIXTURE(Site, "a test is not passed while no node is listed, and is once one is") {
+TEST_CASE_FIXTURE(Site, "health checks fail until a node is listed or the wait for the list times out") {
   program.emplace(json::array(), bulletin);
-  Wire feed = bulletin.Accept();
-  feed.Bytes();
-  Wire owner = program->Owner();
-  CHECK_FALSE(Passes(&owner));
-  SUBCASE("the list names one") {
-    feed.Raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-    feed.Raw("data: " + Event(2, json::array({Node("s-00000001", first.endpoint())}), true).dump() + "\n\n");
+  Wire stream = bulletin.Accept();
+  stream.Bytes();
+  Wire client = program->Owner();
+  CHECK_FALSE(Passes(&client));
+  SUBCASE("the list names a node") {
+    stream.Raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+    stream.Raw("data: " + Event(2, json::array({Node("s-00000001", first.endpoint())}), true).dump() +
+               "\n\n");
   }
-  SUBCASE("the list is out of reach: it is not waited for without end") { bulletin.Close(); }
+  SUBCASE("discovery is unreachable and the wait for the list times out") { bulletin.Close(); }
   const Patience patience;
-  while (!Passes(&owner)) {
+  while (!Passes(&client)) {
     patience.Check();
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
 }
 
-TEST_CASE_FIXTURE(Operated, "with discovery down a process that knows nodes says yes at both addresses") {
+TEST_CASE_FIXTURE(Operated,
+                  "with discovery down a process with a known list reports ready at both addresses") {
   bulletin.Close();
   lives.push_back(
       std::make_unique<Program>(Nodes(), bulletin, Settings(), 0, 0, Platform{-1, tmp.string(), true}));
   Program& program = *lives.back();
-  Wire owner = program.Owner();
-  CHECK(Passes(&owner));
+  Wire client = program.Owner();
+  CHECK(Passes(&client));
   CHECK(Get(program.admin_port(), "/v1/readyz").yes());
 }
 
-TEST_CASE_FIXTURE(Operated,
-                  "with discovery down a process that takes over a socket serves what waits there") {
+TEST_CASE_FIXTURE(
+    Operated,
+    "with discovery down a process that inherits a socket serves the connections in its accept queue") {
   bulletin.Close();
-  Wire waits = Owner();
-  waits.Say(Type::kTest, 1, Cause::kTestFailed);
+  Wire client = Owner();
+  client.Say(Type::kTest, 1, Cause::kTestFailed);
   lives.push_back(std::make_unique<Program>(Nodes(), bulletin, Settings(), 0, 0,
                                             Platform{owners.socket(), tmp.string(), true}));
-  CHECK(waits.Hear(Type::kTestResult, 1).cause == 1);
+  CHECK(client.Hear(Type::kTestResult, 1).cause == 1);
   CHECK(Get(lives.back()->admin_port(), "/v1/readyz").yes());
 }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -34,8 +34,8 @@
   task.payload = std::string("\x00\x64run\n\x80", 7);
   task.class_end = 3;
   all.tasks.push_back(task);
-  all.ends.push_back({9, 17, TaskEnd::kCompleted});
-  all.ends.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
+  all.completions.push_back({9, 17, TaskEnd::kCompleted});
+  all.completions.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
   return all;
 }
 
@@ -51,9 +51,9 @@
   CHECK(is.task.cores == was.task.cores);
   CHECK(is.payload == was.payload);
   CHECK(is.class_end == was.class_end);
-  REQUIRE(all.ends.size() == 2);
-  CHECK(all.ends[0].over == TaskEnd::kCompleted);
-  CHECK(all.ends[1].node == HandedOverCompletion::kAnyNode);
+  REQUIRE(all.completions.size() == 2);
+  CHECK(all.completions[0].end == TaskEnd::kCompleted);
+  CHECK(all.completions[1].node == HandedOverCompletion::kAnyNode);
 }
 
 TEST_CASE("a text that is cut short anywhere, or has a wrong part, passes nothing") {
@@ -61,7 +61,7 @@
   for (std::size_t i = 0; i + 2 < text.size(); ++i) {
     const Handover some = ParseHandover(text.substr(0, i));
     CHECK(some.tasks.empty());
-    CHECK(some.ends.empty());
+    CHECK(some.completions.empty());
   }
   std::string wrong = text;
   wrong.replace(wrong.find("\"class_end\":3"), 13, "\"class_end\":9");
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,5 @@
-// The socket path's own parts, on a pair of sockets and a loop in this process.
+// Connections on a pair of sockets and an event loop in this process: delivery, gathered writes, bounds and
+// buffers.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -19,40 +20,41 @@
 using protocol::Code;
 using protocol::Type;
 
-struct ClassCounters final : Connection::Handler {
+struct RecordingHandler final : Connection::Handler {
   std::size_t OnData(Connection&, std::string_view data) override {
-    got += data;
+    received += data;
     return data.size();
   }
-  void OnEnd(Connection&, Ending how) override {
-    ended = true;
-    ending = how;
+  void OnClosed(Connection&, CloseReason close_reason) override {
+    closed = true;
+    reason = close_reason;
   }
-  std::string got;
-  bool ended = false;
-  Ending ending{};
+  std::string received;
+  bool closed = false;
+  CloseReason reason{};
 };
 
-// A connection on one end, the bare socket on the other, with little room between them.
-struct Pair {
-  explicit Pair(int room = 4096) {
+// A connection on one end, a plain socket on the other, with a small send buffer.
+struct ConnectionPair {
+  explicit ConnectionPair(int send_buffer_bytes = 4096) {
     int sockets[2];
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, sockets) == 0);
-    REQUIRE(::setsockopt(sockets[0], SOL_SOCKET, SO_SNDBUF, &room, sizeof room) == 0);
-    other = sockets[1];
+    REQUIRE(::setsockopt(sockets[0], SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes, sizeof send_buffer_bytes) ==
+            0);
+    peer = sockets[1];
     connection.emplace(&loop, sockets[0], &handler);
   }
-  ~Pair() { ::close(other); }
+  ~ConnectionPair() { ::close(peer); }
   std::string ReadSome(std::size_t most) const {
     std::string bytes(most, '\0');
-    const ssize_t got = ::recv(other, bytes.data(), most, 0);
-    bytes.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
+    const ssize_t received = ::recv(peer, bytes.data(), most, 0);
+    bytes.resize(received > 0 ? static_cast<std::size_t>(received) : 0);
     return bytes;
   }
 
   EventLoop loop;
-  ClassCounters handler;
-  int other = -1;
+  RecordingHandler handler;
+  int peer = -1;
   std::optional<Connection> connection;
 };
 
@@ -62,87 +64,89 @@
   return text;
 }
 
-TEST_CASE("what the other side has no room for has not left, and what it has not read is not delivered") {
-  Pair pair;
+TEST_CASE("queued bytes are not sent and bytes that the peer has not read are not delivered") {
+  ConnectionPair pair;
   const std::uint64_t before = pair.connection->queued_position();
-  *pair.connection->out() += "first";
+  *pair.connection->write_queue() += "first";
   const std::uint64_t first = pair.connection->queued_position();
   CHECK(first == before + 5);
   CHECK_FALSE(pair.connection->HasSent(first));  // it is queued in this process
   pair.connection->Flush();
   CHECK(pair.ReadSome(5) == "first");
   CHECK(pair.connection->HasDelivered(first));
-  *pair.connection->out() += std::string(64 * 1024, 'x');
+  *pair.connection->write_queue() += std::string(64 * 1024, 'x');
   pair.connection->Flush();
   const std::uint64_t all = pair.connection->queued_position();
   CHECK(all == first + 64 * 1024);
-  CHECK(pair.connection->HasDelivered(first));  // whatever is queued behind it
+  CHECK(pair.connection->HasDelivered(first));  // also while more is queued behind it
   CHECK_FALSE(pair.connection->HasDelivered(all));
   CHECK_FALSE(pair.connection->HasDelivered(first + 1));
   pair.connection->Close();
-  CHECK_FALSE(pair.connection->HasDelivered(first));  // nothing is known of a connection that has ended
+  CHECK_FALSE(pair.connection->HasDelivered(first));  // a closed connection reports nothing as delivered
 }
 
-TEST_CASE("a gathered write that breaks off anywhere goes on where it broke off") {
+TEST_CASE("a gathered write that stops anywhere continues from there") {
   std::mt19937 random(21);
-  Pair pair;
-  std::string expected, got;
+  ConnectionPair pair;
+  std::string expected, received;
   for (int round = 0; round < 60; ++round) {
-    // Words of the queue's own, with blocks before, between and behind them; some blocks stand there twice.
+    // Bytes of the queue itself with slices of blocks before, between and behind them; some blocks are used
+    // twice.
     for (int i = 0; i < 6; ++i) {
       BlockPool::Ref block = Blocks().Make(9000);
       block.Append(Text(&random, random() % 9000));
       const std::size_t cut = random() % (block.size() + 1);
-      const std::string own = Text(&random, random() % 700);
-      pair.connection->Refer(block, 0, cut);
-      *pair.connection->out() += own;
-      pair.connection->Refer(block, cut, block.size());
-      expected.append(block.view().substr(0, cut)).append(own).append(block.view().substr(cut));
+      const std::string queue_bytes = Text(&random, random() % 700);
+      pair.connection->AppendBlock(block, 0, cut);
+      *pair.connection->write_queue() += queue_bytes;
+      pair.connection->AppendBlock(block, cut, block.size());
+      expected.append(block.view().substr(0, cut)).append(queue_bytes).append(block.view().substr(cut));
     }
     pair.connection->Flush();
     while (!pair.connection->flushed()) {
-      got += pair.ReadSome(1 + random() % 5000);
+      received += pair.ReadSome(1 + random() % 5000);
       pair.connection->Flush();
     }
-    for (std::string more = pair.ReadSome(65'536); !more.empty(); more = pair.ReadSome(65'536)) got += more;
-    REQUIRE(got == expected);
-    got.clear();
+    for (std::string more = pair.ReadSome(65'536); !more.empty(); more = pair.ReadSome(65'536))
+      received += more;
+    REQUIRE(received == expected);
+    received.clear();
     expected.clear();
   }
   CHECK(Blocks().live() == 0);
-  CHECK_FALSE(pair.handler.ended);
+  CHECK_FALSE(pair.handler.closed);
 }
 
-TEST_CASE("what waits to be written is bounded, blocks too, and let go with the connection") {
-  Pair pair;
+TEST_CASE("queued bytes and blocks are bounded and released with the connection") {
+  ConnectionPair pair;
   BlockPool::Ref block = Blocks().Make(16'000);
   block.Append(std::string(16'000, 'x'));
-  for (int i = 0; i < 100 && !pair.handler.ended; ++i) {
-    pair.connection->Refer(block, 0, block.size());
+  for (int i = 0; i < 100 && !pair.handler.closed; ++i) {
+    pair.connection->AppendBlock(block, 0, block.size());
     pair.connection->Flush();
   }
-  CHECK(pair.handler.ended);
-  CHECK(pair.handler.ending == Ending::kStuck);
+  CHECK(pair.handler.closed);
+  CHECK(pair.handler.reason == CloseReason::kOverflow);
   block = {};
   CHECK(Blocks().live() == 0);
 }
 
-TEST_CASE("a set-up of a block leaves in one call, and its bytes are copied once") {
-  Pair pair(65'536);
+TEST_CASE("a request with a block is sent in one system call and its bytes are copied once") {
+  ConnectionPair pair(65'536);
   BlockPool::Ref block = Blocks().Make(1000);
   protocol::AppendParameter(&block, Code::kClass, "web-api");
   const std::size_t class_end = block.size();
   protocol::AppendParameter(&block, Code::kDescription, std::string(500, 'd'));
   const std::uint64_t sends = sys::calls.send, written = protocol::bytes_written;
   {
-    protocol::Writer message(pair.connection->out(), Type::kSetUp, 0x0102030405060708);
-    pair.connection->Refer(block, 0, class_end);
+    protocol::Writer message(pair.connection->write_queue(), Type::kSetUp, 0x0102030405060708);
+    pair.connection->AppendBlock(block, 0, class_end);
     message.Foreign(block.size()).Add(Code::kWait, std::int64_t{1500});
-    pair.connection->Refer(block, class_end, block.size());
+    pair.connection->AppendBlock(block, class_end, block.size());
   }
   pair.connection->Flush();
   CHECK(sys::calls.send - sends == 1);
-  CHECK(protocol::bytes_written - written == 4);  // the wait
+  CHECK(protocol::bytes_written - written == 4);  // the wait parameter
   const std::string bytes = pair.ReadSome(4096);
   protocol::Message m;
   std::size_t size = 0;
@@ -154,20 +158,20 @@
   CHECK(m.Get(Code::kDescription) == std::string(500, 'd'));
 }
 
-TEST_CASE("buffers go back to the loop once nothing waits in them") {
-  Pair pair(65'536);
-  *pair.connection->out() += std::string(3000, 'a');
+TEST_CASE("buffers return to the loop once they are empty") {
+  ConnectionPair pair(65'536);
+  *pair.connection->write_queue() += std::string(3000, 'a');
   pair.connection->Flush();
-  std::string taken;
-  pair.loop.TakeBuffer(&taken);
-  CHECK(taken.capacity() >= 3000);  // it is the one that was just used
-  CHECK(taken.empty());
-  pair.loop.GiveBuffer(&taken);
+  std::string buffer;
+  pair.loop.AcquireBuffer(&buffer);
+  CHECK(buffer.capacity() >= 3000);  // the buffer that was just used
+  CHECK(buffer.empty());
+  pair.loop.ReleaseBuffer(&buffer);
   std::string large(100'000, 'x');
-  pair.loop.GiveBuffer(&large);
+  pair.loop.ReleaseBuffer(&large);
   CHECK(large.capacity() < 100);  // too large to be kept
-  pair.loop.TakeBuffer(&taken);
-  CHECK(taken.capacity() < 100'000);
+  pair.loop.AcquireBuffer(&buffer);
+  CHECK(buffer.capacity() < 100'000);
 }
 
 }  // namespace
--- a/tests/operations_story_test.cpp
+++ b/tests/operations_story_test.cpp
@@ -1,4 +1,5 @@
-// Stories of daily operation: the real program, drained, upgraded and told what to leave out by operators.
+// Integration tests of operators' work on the real program: upgrades, suspension of nodes, drains and
+// metrics.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <unistd.h>
@@ -8,140 +9,140 @@
 namespace cluster_manager::story {
 namespace {
 
-TEST_CASE_FIXTURE(Operated,
-                  "an upgrade: the new process serves where the old one did, and the old one ends") {
-  Program& old = Start();
-  Wire before = Owner();
-  Ask(&before, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+TEST_CASE_FIXTURE(Operated, "an upgrade: the new process serves on the same socket and the old one exits") {
+  Program& old_process = Start();
+  Wire first_client = Owner();
+  Ask(&first_client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   Start();
-  old.Signal(SIGTERM);
-  old.Logged("stopping: 1 requests");
-  // Whoever connects from now on meets the new process, though the old one still has a request to settle.
-  Wire after = Owner();
-  Ask(&after, kOther, "unsafe");
-  Wire again = first.Accept();
-  again.Hear(Type::kSetUp, kOther);
-  again.Answer(kOther, "there");
-  CHECK(after.Hear(Type::kAnswer, kOther).description == "there");
-  // What was on its way in the old one is answered by it, on the connection that it came by.
-  agent.Answer(kTask, "here");
-  CHECK(before.Hear(Type::kAnswer, kTask).description == "here");
-  CHECK(before.Closed());
-  CHECK(old.ExitStatus() == 0);
-  CHECK(Passes(&after));
+  old_process.Signal(SIGTERM);
+  old_process.Logged("stopping: 1 unanswered requests");
+  // New connections are accepted by the new process, although the old one still has an unanswered request.
+  Wire second_client = Owner();
+  Ask(&second_client, kOther, "unsafe");
+  Wire new_connection = first.Accept();
+  new_connection.Hear(Type::kSetUp, kOther);
+  new_connection.Answer(kOther, "there");
+  CHECK(second_client.Hear(Type::kAnswer, kOther).description == "there");
+  // The old process answers its own requests, on the connections on which they arrived.
+  node.Answer(kTask, "here");
+  CHECK(first_client.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(first_client.Closed());
+  CHECK(old_process.ExitStatus() == 0);
+  CHECK(Passes(&second_client));
 }
 
-TEST_CASE_FIXTURE(Operated, "an upgrade: a set-up that is half written to the old process is served by it") {
-  Program& old = Start();
+TEST_CASE_FIXTURE(Operated, "an upgrade: a request that the old process has partly read is served by it") {
+  Program& old_process = Start();
   std::string bytes;
   {
-    protocol::Writer w(&bytes, Type::kSetUp, kTask);
-    w.Add(Code::kClass, "safe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-    w.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
-    w.Add(Code::kDescription, "run");
+    protocol::Writer writer(&bytes, Type::kSetUp, kTask);
+    writer.Add(Code::kClass, "safe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
+    writer.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+    writer.Add(Code::kDescription, "run");
   }
-  Wire owner = Owner();
-  CHECK(Passes(&owner));
-  owner.Raw(bytes.substr(0, 20));
+  Wire client = Owner();
+  CHECK(Passes(&client));
+  client.Raw(bytes.substr(0, 20));
   Start();
-  old.Signal(SIGTERM);
-  old.Logged("stopping");
-  owner.Raw(bytes.substr(20));
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "here");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "here");
-  CHECK(old.ExitStatus() == 0);
+  old_process.Signal(SIGTERM);
+  old_process.Logged("stopping");
+  client.Raw(bytes.substr(20));
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "here");
+  CHECK(client.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(old_process.ExitStatus() == 0);
 }
 
-TEST_CASE_FIXTURE(Operated, "an upgrade: a standing task goes over, and its end is told by the new process") {
-  Program& old = Start();
-  Wire before = Owner();
-  Ask(&before, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "here");
-  before.Hear(Type::kAnswer, kTask);
-  Program& fresh = Start();
-  old.Signal(SIGTERM);
-  CHECK(before.Closed());
-  CHECK(old.ExitStatus() == 0);
-  fresh.Logged("taken over: 1 of 1 tasks");
-  CHECK(FiguresOf(fresh.admin_port())["open_requests"] == 1);
-  Wire after = Owner();
-  SUBCASE("its owner hands it over too") {
-    Ask(&after, kTask, "unsafe", 25'000, ";at:s-00000001");
-    fresh.Counted("tasks_claimed_again", 1);
+TEST_CASE_FIXTURE(Operated,
+                  "an upgrade: a running task is handed over and the new process sends its completion") {
+  Program& old_process = Start();
+  Wire first_client = Owner();
+  Ask(&first_client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "here");
+  first_client.Hear(Type::kAnswer, kTask);
+  Program& new_process = Start();
+  old_process.Signal(SIGTERM);
+  CHECK(first_client.Closed());
+  CHECK(old_process.ExitStatus() == 0);
+  new_process.Logged("taken over: 1 of 1 tasks");
+  CHECK(FiguresOf(new_process.admin_port())["open_requests"] == 1);
+  Wire second_client = Owner();
+  SUBCASE("the client claims it too") {
+    Ask(&second_client, kTask, "unsafe", 25'000, ";at:s-00000001");
+    new_process.Counted("tasks_claimed_again", 1);
   }
-  SUBCASE("before its owner does") { CHECK(Passes(&after)); }
-  Wire again = first.Accept();  // a way is kept where it stands
-  again.Say(Type::kRelease, kTask, Cause::kEnded);
-  CHECK(after.Hear(Type::kRelease, kTask).cause == 16);
-  CHECK(FiguresOf(fresh.admin_port())["open_requests"] == 0);
+  SUBCASE("before the client claims it") { CHECK(Passes(&second_client)); }
+  Wire new_connection = first.Accept();  // the new process keeps a connection to the node of the task
+  new_connection.Say(Type::kRelease, kTask, Cause::kEnded);
+  CHECK(second_client.Hear(Type::kRelease, kTask).cause == 16);
+  CHECK(FiguresOf(new_process.admin_port())["open_requests"] == 0);
 }
 
 TEST_CASE_FIXTURE(Operated,
-                  "a door that was closed before the new process came proves no death of what stands there") {
-  Program& old = Start();
-  Wire owner = Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
-  first.Close();  // it leaves: its old connection goes on, dials are refused
-  Program& fresh = Start();
-  old.Signal(SIGTERM);
-  CHECK(old.ExitStatus() == 0);
-  fresh.Logged("taken over: 1 of 1 tasks");
-  fresh.Logged("dial refused");
-  fresh.Logged("dial refused");
-  CHECK(FiguresOf(fresh.admin_port())["open_requests"] == 1);
+                  "refused dials since before the new process started do not end a handed over task") {
+  Program& old_process = Start();
+  Wire client = Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "here");
+  client.Hear(Type::kAnswer, kTask);
+  first.Close();  // the node leaves: its old connection stays up, dials are refused
+  Program& new_process = Start();
+  old_process.Signal(SIGTERM);
+  CHECK(old_process.ExitStatus() == 0);
+  new_process.Logged("taken over: 1 of 1 tasks");
+  new_process.Logged("dial refused");
+  new_process.Logged("dial refused");
+  CHECK(FiguresOf(new_process.admin_port())["open_requests"] == 1);
 }
 
-TEST_CASE_FIXTURE(Operated,
-                  "two upgrades in a row, and a new process that is killed before anybody relies on it") {
-  Program& one = Start();
-  Wire owner = Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+TEST_CASE_FIXTURE(Operated, "two upgrades in a row and a new process that is killed once it is ready") {
+  Program& first_process = Start();
+  Wire client = Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  node.Answer(kTask, "here");
+  client.Hear(Type::kAnswer, kTask);
   Start();
-  lives.pop_back();  // killed just after its yes: the old one was told nothing, and serves on
+  lives.pop_back();  // killed once it was ready: the old process was not signalled and continues to serve
   lists.pop_back();
-  CHECK(Passes(&owner));
-  Program& two = Start();
-  one.Signal(SIGTERM);
-  CHECK(one.ExitStatus() == 0);
-  two.Logged("taken over: 1 of 1 tasks");
-  Program& three = Start();
-  two.Signal(SIGTERM);
-  CHECK(two.ExitStatus() == 0);
-  three.Logged("taken over: 1 of 1 tasks");
-  CHECK(FiguresOf(three.admin_port())["open_requests"] == 1);
+  CHECK(Passes(&client));
+  Program& second_process = Start();
+  first_process.Signal(SIGTERM);
+  CHECK(first_process.ExitStatus() == 0);
+  second_process.Logged("taken over: 1 of 1 tasks");
+  Program& third_process = Start();
+  second_process.Signal(SIGTERM);
+  CHECK(second_process.ExitStatus() == 0);
+  third_process.Logged("taken over: 1 of 1 tasks");
+  CHECK(FiguresOf(third_process.admin_port())["open_requests"] == 1);
 }
 
-TEST_CASE_FIXTURE(Operated, "an upgrade: what waits in the backlog is not refused, whoever is killed") {
+TEST_CASE_FIXTURE(Operated,
+                  "an upgrade: connections in the accept queue are not refused when a process is killed") {
   Start();
-  Program& fresh = Start();
+  Program& new_process = Start();
   lives.front().reset();  // killed outright
-  Wire owner = Owner();
-  CHECK(Passes(&owner));
-  fresh.Signal(SIGKILL);
-  fresh.ExitStatus();
+  Wire client = Owner();
+  CHECK(Passes(&client));
+  new_process.Signal(SIGKILL);
+  new_process.ExitStatus();
   lives.pop_back();
-  Wire waits = Owner();  // nobody is there, and nobody is refused
-  waits.Say(Type::kTest, 1, Cause::kTestFailed);
+  Wire queued_client = Owner();  // no process is there, and the connection is not refused
+  queued_client.Say(Type::kTest, 1, Cause::kTestFailed);
   Start();
-  CHECK(waits.Hear(Type::kTestResult, 1).cause == 1);
+  CHECK(queued_client.Hear(Type::kTestResult, 1).cause == 1);
 }
 
-TEST_CASE_FIXTURE(
-    Operated, "an agent that operators took out gets nothing, whatever the list says, until called back") {
+TEST_CASE_FIXTURE(Operated,
+                  "a suspended node gets no tasks until it is resumed whatever the endpoint list says") {
   Program& program = Start();
   const int port = program.admin_port();
   CHECK(Post(port, "/v1/agents/s-00000001/suspend").yes());
@@ -150,138 +151,139 @@
   CHECK(FiguresOf(port)["out_of_rotation"] == 1);
   lists.back().Raw("data: " + Event(2, Nodes(), true).dump() + "\n\n");
   program.Counted("discovery_events", 1);
-  Wire owner = Owner();
-  Ask(&owner, kTask, "safe");
-  Wire there = second.Accept();
-  there.Hear(Type::kSetUp, kTask);
-  there.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  Wire client = Owner();
+  Ask(&client, kTask, "safe");
+  Wire second_node = second.Accept();
+  second_node.Hear(Type::kSetUp, kTask);
+  second_node.Answer(kTask, "there");
+  client.Hear(Type::kAnswer, kTask);
   CHECK_FALSE(first.Dialled());
 
-  // The next process knows of it too, and of what the old one is told later.
-  Program& fresh = Start();
-  const auto until_out = [&fresh](int agents) {
+  // The new process knows of the suspension, and of later ones at the old process.
+  Program& new_process = Start();
+  const auto wait_until_suspended = [&new_process](int count) {
     const Patience patience;
-    while (FiguresOf(fresh.admin_port())["out_of_rotation"] != agents) patience.Check();
+    while (FiguresOf(new_process.admin_port())["out_of_rotation"] != count) patience.Check();
   };
-  until_out(1);
+  wait_until_suspended(1);
   CHECK(Post(port, "/v1/agents/s-00000002/suspend").yes());
-  until_out(2);
-  CHECK(Post(fresh.admin_port(), "/v1/agents/s-00000001/resume").yes());
+  wait_until_suspended(2);
+  CHECK(Post(new_process.admin_port(), "/v1/agents/s-00000001/resume").yes());
   program.Signal(SIGTERM);
   CHECK(program.ExitStatus() == 0);
-  Wire again = Owner();
-  Ask(&again, kOther, "safe");
-  Wire back = first.Accept();  // it stays open: an agent that breaks off would be set aside
-  back.Hear(Type::kSetUp, kOther);
-  CHECK(FiguresOf(fresh.admin_port())["out_of_rotation"] == 1);
+  Wire new_connection = Owner();
+  Ask(&new_connection, kOther, "safe");
+  Wire resumed_node = first.Accept();  // stays open: a node that closes its connection would be ejected
+  resumed_node.Hear(Type::kSetUp, kOther);
+  CHECK(FiguresOf(new_process.admin_port())["out_of_rotation"] == 1);
 }
 
-TEST_CASE_FIXTURE(Operated, "a disk that does not answer keeps nobody waiting, and learns of the ban later") {
+TEST_CASE_FIXTURE(Operated, "a locked shared file does not delay a suspension and is written later") {
   Program& program = Start();
   const std::string file = tmp / "willowrail.n0.rotation";
-  const int held = ::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  REQUIRE(held >= 0);
-  REQUIRE(::flock(held, LOCK_EX) == 0);
+  const int lock = ::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  REQUIRE(lock >= 0);
+  REQUIRE(::flock(lock, LOCK_EX) == 0);
   CHECK(Post(program.admin_port(), "/v1/agents/s-00000001/suspend").yes());
-  Wire owner = Owner();
-  Ask(&owner, kTask, "safe");
-  Wire there = second.Accept();
-  there.Hear(Type::kSetUp, kTask);
-  there.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
-  there.Say(Type::kRelease, kTask, Cause::kEnded);
-  owner.Hear(Type::kRelease, kTask);
+  Wire client = Owner();
+  Ask(&client, kTask, "safe");
+  Wire second_node = second.Accept();
+  second_node.Hear(Type::kSetUp, kTask);
+  second_node.Answer(kTask, "there");
+  client.Hear(Type::kAnswer, kTask);
+  second_node.Say(Type::kRelease, kTask, Cause::kEnded);
+  client.Hear(Type::kRelease, kTask);
   CHECK(std::filesystem::file_size(file) == 0);
-  CHECK(::flock(held, LOCK_UN) == 0);
+  CHECK(::flock(lock, LOCK_UN) == 0);
   const Patience patience;
   while (std::filesystem::file_size(file) == 0) patience.Check();
-  ::close(held);
+  ::close(lock);
 }
 
-TEST_CASE_FIXTURE(Operated, "an agent is out also where that cannot be written down") {
-  const std::filesystem::path kept = tmp;
+TEST_CASE_FIXTURE(Operated, "a node is suspended even where the shared file cannot be written") {
+  const std::filesystem::path previous_tmp = tmp;
   tmp /= "none";
   Program& program = Start(false);
-  tmp = kept;
+  tmp = previous_tmp;
   CHECK(Post(program.admin_port(), "/v1/agents/s-00000001/suspend").yes());
   CHECK(FiguresOf(program.admin_port())["out_of_rotation"] == 1);
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "safe");
-  Wire there = second.Accept();
-  there.Hear(Type::kSetUp, kTask);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "safe");
+  Wire second_node = second.Accept();
+  second_node.Hear(Type::kSetUp, kTask);
   CHECK_FALSE(first.Dialled());
 }
 
 TEST_CASE_FIXTURE(
     Operated,
-    "drained, the program says no, lets connections go and serves whoever comes, and then is active again") {
+    "a drained process is not ready and closes idle connections and serves new clients until activated") {
   Program& program = Start(false);
   const int port = program.admin_port();
-  Wire idle = program.Owner(), busy = program.Owner();
-  CHECK(Passes(&idle));
-  Ask(&busy, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  Wire idle_client = program.Owner(), busy_client = program.Owner();
+  CHECK(Passes(&idle_client));
+  Ask(&busy_client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   CHECK(Get(port, "/v1/readyz").status == 503);
-  CHECK(idle.Closed());
-  Wire asks = program.Owner();
-  CHECK_FALSE(Passes(&asks));
-  CHECK(asks.Closed());
-  agent.Answer(kTask, "here");
-  CHECK(busy.Hear(Type::kAnswer, kTask).description == "here");
-  // Its task stands: the end of it will have to be told, so this way stays, and takes nothing new.
-  Ask(&busy, kOther, "unsafe");
-  CHECK(busy.Hear(Type::kRelease, kOther).cause == 42);
+  CHECK(idle_client.Closed());
+  Wire new_client = program.Owner();
+  CHECK_FALSE(Passes(&new_client));
+  CHECK(new_client.Closed());
+  node.Answer(kTask, "here");
+  CHECK(busy_client.Hear(Type::kAnswer, kTask).description == "here");
+  // The task still runs and its completion has to be sent: the connection stays open, but takes no new
+  // request.
+  Ask(&busy_client, kOther, "unsafe");
+  CHECK(busy_client.Hear(Type::kRelease, kOther).cause == 42);
   CHECK(FiguresOf(port)["throttled"]["unsafe"] == 1);
-  SUBCASE("empty in the end") {
-    agent.Say(Type::kRelease, kTask, Cause::kEnded);
-    CHECK(busy.Hear(Type::kRelease, kTask).cause == 16);
-    CHECK(busy.Closed());
+  SUBCASE("the task ends during the drain") {
+    node.Say(Type::kRelease, kTask, Cause::kEnded);
+    CHECK(busy_client.Hear(Type::kRelease, kTask).cause == 16);
+    CHECK(busy_client.Closed());
     return;
   }
-  SUBCASE("soon active again") { busy.Close(); }
-  // Within a second: active, drained, active.
+  SUBCASE("activated while the task runs") { busy_client.Close(); }
+  // Activated, drained and activated within a second.
   CHECK(Post(port, "/v1/cluster-manager/activate").yes());
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   CHECK_FALSE(Get(port, "/v1/readyz").yes());
   CHECK(Post(port, "/v1/cluster-manager/activate").yes());
   CHECK(Get(port, "/v1/readyz").yes());
-  Wire after = program.Owner();
-  CHECK(Passes(&after));
-  // The task that stood all the while is over: that is told on whatever way is there.
-  agent.Say(Type::kRelease, kTask, Cause::kEnded);
-  CHECK(after.Hear(Type::kRelease, kTask).cause == 16);
+  Wire second_client = program.Owner();
+  CHECK(Passes(&second_client));
+  // The completion of the task is sent on any open connection of the client.
+  node.Say(Type::kRelease, kTask, Cause::kEnded);
+  CHECK(second_client.Hear(Type::kRelease, kTask).cause == 16);
 }
 
-TEST_CASE_FIXTURE(Operated, "each way a request can end is counted once, for its class") {
+TEST_CASE_FIXTURE(Operated, "each outcome of a request is counted once for its class") {
   Program& program = Start(false);
   const int port = program.admin_port();
-  Wire owner = program.Owner();
-  Ask(&owner, kTask, "unsafe");
-  Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
-  json figures = FiguresOf(port);
-  CHECK(figures["open_requests"] == 1);
-  CHECK(figures["relayed"] == 1);
-  CHECK(figures["registry_entries"] == 2);
-  CHECK(figures["out_of_rotation"] == 0);
-  agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
-  Ask(&owner, kOther, "unsafe");
-  agent.Hear(Type::kSetUp, kOther);
-  agent.Say(Type::kRelease, kOther, Cause::kReset);
-  owner.Hear(Type::kRelease, kOther);
-  agent.Say(Type::kRelease, kTask, Cause::kEnded);
-  owner.Hear(Type::kRelease, kTask);
-  figures = FiguresOf(port);
-  CHECK(figures["open_requests"] == 0);
-  CHECK(figures["fulfilled"]["unsafe"] == 1);
-  CHECK(figures["faulted"]["unsafe"] == 1);
-  CHECK(figures["throttled"]["unsafe"] == 0);
-  CHECK(figures["fulfilled"]["safe"] == 0);
-  CHECK(figures["cfg_invalid"] == 0);
+  Wire client = program.Owner();
+  Ask(&client, kTask, "unsafe");
+  Wire node = first.Accept();
+  node.Hear(Type::kSetUp, kTask);
+  json metrics = FiguresOf(port);
+  CHECK(metrics["open_requests"] == 1);
+  CHECK(metrics["relayed"] == 1);
+  CHECK(metrics["registry_entries"] == 2);
+  CHECK(metrics["out_of_rotation"] == 0);
+  node.Answer(kTask, "here");
+  client.Hear(Type::kAnswer, kTask);
+  Ask(&client, kOther, "unsafe");
+  node.Hear(Type::kSetUp, kOther);
+  node.Say(Type::kRelease, kOther, Cause::kReset);
+  client.Hear(Type::kRelease, kOther);
+  node.Say(Type::kRelease, kTask, Cause::kEnded);
+  client.Hear(Type::kRelease, kTask);
+  metrics = FiguresOf(port);
+  CHECK(metrics["open_requests"] == 0);
+  CHECK(metrics["fulfilled"]["unsafe"] == 1);
+  CHECK(metrics["faulted"]["unsafe"] == 1);
+  CHECK(metrics["throttled"]["unsafe"] == 0);
+  CHECK(metrics["fulfilled"]["safe"] == 0);
+  CHECK(metrics["cfg_invalid"] == 0);
 }
 
 }  // namespace
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -4,7 +4,7 @@
 #include "config/config.h"
 #include "containers/slot_table.h"
 #include "dispatch/ports.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 #include "protocol/message.h"
 
 namespace cluster_manager {
@@ -33,7 +33,7 @@
   });
   const Handle down = wheel.Schedule(start + 3 * kMs, [&] { ran += 'x'; });
   wheel.Cancel(down);
-  CHECK(wheel.Next() <= start + 2 * kMs);
+  CHECK(wheel.NextDeadline() <= start + 2 * kMs);
   wheel.Advance(start + 2 * kMs);
   CHECK(ran == "a");
   wheel.Advance(start + 10 * kMs);
@@ -42,7 +42,7 @@
   CHECK(ran == "acb");
   wheel.Advance(start + 90 * kSecond);  // a whole turn slept through
   CHECK(ran == "acbd");
-  CHECK(wheel.Next() == -1);
+  CHECK(wheel.NextDeadline() == -1);
 }
 
 TEST_CASE("a message comes whole or not at all, however it is cut") {
--- a/tests/scripted_list.h
+++ b/tests/scripted_list.h
@@ -1,9 +1,8 @@
-// Discovery as the protocol has it, for integration tests: a call is answered with every event after its
-// Last-Event-ID, and a comment follows every while. It runs on a thread of its own, so that the list is not
-// silent however slowly the test goes on, and what a closed stream lost is told on the next.
+// A discovery service for integration tests: answers a request with every event after its Last-Event-ID and
+// sends comments at a fixed interval. It runs on its own thread, so that the stream is not silent however
+// slow the test is, and events that a closed stream lost are sent on the next one.
 //
-// No program is to be started while it runs, since a thread does not survive a fork: Start() comes after
-// that.
+// Call Start() after every program of the test was started: a thread does not survive a fork.
 #pragma once
 
 #include <poll.h>
@@ -26,7 +25,7 @@
 
 class ScriptedList {
  public:
-  // `port` must outlive the list, and is neither closed nor opened while the list runs.
+  // `port` must outlive this object, and must not be closed or opened while the thread runs.
   explicit ScriptedList(Port* port) : port_(port) {}
   ~ScriptedList() { Stop(); }
   ScriptedList(const ScriptedList&) = delete;
@@ -37,14 +36,15 @@
     stopping_ = false;
     thread_ = std::thread([this] { Run(); });
   }
-  // Ends every stream. What has been told is told again to whoever calls after the next Start().
+  // Closes every stream. After the next Start() events are sent again to clients that request them.
   void Stop() {
     stopping_ = true;
     if (thread_.joinable()) thread_.join();
     for (const Stream& stream : std::exchange(streams_, {})) ::close(stream.socket);
   }
-  // One more event. On streams that are open it has been written when this returns, and there is one.
-  void Tell(const json& nodes, bool all = false) {
+  // Adds an event. Waits until a stream is open; the event has been written to all open streams when this
+  // returns.
+  void AddEvent(const json& nodes, bool all = false) {
     Start();
     const Patience patience;
     while (!HasOpenStream()) {
@@ -55,19 +55,19 @@
     events_.push_back(Event(number() + 1, nodes, all).dump());
     for (Stream& stream : streams_) SendMissing(&stream);
   }
-  // How many events it has told; the configuration's own event has number 1.
-  int told() const { return static_cast<int>(events_.size()); }
+  // The number of added events. They are numbered from 2 on; event 1 is that of the configuration.
+  int event_count() const { return static_cast<int>(events_.size()); }
 
  private:
   struct Stream {
     int socket;
-    std::string call;   // what has come of it, until it is whole
-    int last_sent = 0;  // the number of the last event sent; 0: the call is not whole
+    std::string request;  // the received part of the request
+    int last_sent = 0;    // the number of the last event sent; 0: the request is incomplete
   };
   static constexpr int kPollMs = 20;
   static constexpr std::chrono::milliseconds kCommentInterval{300};
 
-  int number() const { return told() + 1; }
+  int number() const { return event_count() + 1; }
   bool HasOpenStream() {
     const std::scoped_lock lock(mutex_);
     for (const Stream& stream : streams_) {
@@ -94,7 +94,7 @@
       }
     }
   }
-  // Not for longer than until the next comment, or than Stop() is waited for.
+  // Waits for kPollMs at most, so that comments are sent in time and Stop() returns soon.
   void WaitForInput() const {
     pollfd wait{port_->socket(), POLLIN, 0};
     ::poll(&wait, 1, kPollMs);
@@ -107,13 +107,13 @@
   }
   void ReadCall(Stream* stream) {
     char bytes[1024];
-    const ssize_t got = ::recv(stream->socket, bytes, sizeof bytes, MSG_DONTWAIT);
-    if (got > 0) stream->call.append(bytes, static_cast<std::size_t>(got));
-    if (stream->last_sent > 0 || stream->call.find("\r\n\r\n") == std::string::npos) return;
+    const ssize_t received = ::recv(stream->socket, bytes, sizeof bytes, MSG_DONTWAIT);
+    if (received > 0) stream->request.append(bytes, static_cast<std::size_t>(received));
+    if (stream->last_sent > 0 || stream->request.find("\r\n\r\n") == std::string::npos) return;
     constexpr std::string_view kLast = "Last-Event-ID: ";
-    const std::size_t at = stream->call.find(kLast);
+    const std::size_t at = stream->request.find(kLast);
     if (at == std::string::npos) return;
-    stream->last_sent = std::atoi(stream->call.c_str() + at + kLast.size());
+    stream->last_sent = std::atoi(stream->request.c_str() + at + kLast.size());
     Send(stream->socket, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n");
     SendMissing(stream);
   }
@@ -127,18 +127,18 @@
   static void Send(int socket, std::string_view text) {
     while (!text.empty()) {
       const ssize_t sent = ::send(socket, text.data(), text.size(), MSG_NOSIGNAL);
-      if (sent <= 0) return;  // it has ended, and is called again
+      if (sent <= 0) return;  // the stream has been closed; the client requests it again
       text.remove_prefix(static_cast<std::size_t>(sent));
     }
   }
   static bool HasEnded(int socket) {
     char byte = 0;
-    const ssize_t got = ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
+    const ssize_t received = ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
   }
 
   Port* port_;
-  std::mutex mutex_;  // of all below
+  std::mutex mutex_;  // guards the members below
   std::vector<std::string> events_;
   std::vector<Stream> streams_;
   std::atomic<bool> stopping_ = false;
--- a/tests/settings_story_test.cpp
+++ b/tests/settings_story_test.cpp
@@ -88,10 +88,10 @@
   json config = With(program, {Service("safe", "pure"), Service("batch", "pure")});
   config["bulletin"] = "127.0.0.1:9";
   std::string text, said;
-  SUBCASE("empty") { said = "configuration not read again: "; }
+  SUBCASE("empty") { said = "configuration reload failed: "; }
   SUBCASE("cut short") {
     text = config.dump().substr(0, 200);
-    said = "configuration not read again: ";
+    said = "configuration reload failed: ";
   }
   SUBCASE("a deadline below 0") {
     config["settings"]["Services"][1]["Deadline"] = -5;
@@ -111,7 +111,7 @@
   SUBCASE("settings that the module cannot work with") {
     config["settings"]["FamilyInfo"]["CoresByKind"] = {0};
     text = config.dump();
-    said = "configuration not read again: ";
+    said = "configuration reload failed: ";
   }
   program.Configure(text);
   program.Signal(SIGHUP);
--- a/tests/story.h
+++ b/tests/story.h
@@ -105,7 +105,7 @@
     ::close(log[1]);
     log_.emplace(log[0]);
     port_ = std::stoi(Logged("listens on 127.0.0.1:"));
-    if (platform.admin) admin_port_ = std::stoi(Logged("operators are listened to on 127.0.0.1:"));
+    if (platform.admin) admin_port_ = std::stoi(Logged("admin API address: 127.0.0.1:"));
   }
   ~Program() {
     if (process_ > 0) {
--- a/tests/story_owners_test.cpp
+++ b/tests/story_owners_test.cpp
@@ -167,7 +167,7 @@
   json config = program->config();
   program->Configure("{\"name\":");
   program->Signal(SIGHUP);
-  program->Logged("configuration not read again");
+  program->Logged("configuration reload failed");
   Port moved;
   config["bulletin"] = moved.endpoint();
   program->Configure(config.dump());
--- a/tests/structures_test.cpp
+++ b/tests/structures_test.cpp
@@ -12,7 +12,7 @@
 #include "containers/callback.h"
 #include "containers/ratio_index.h"
 #include "containers/tables.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 
 namespace cluster_manager {
 namespace {
@@ -305,7 +305,7 @@
     }
     std::ranges::stable_sort(plain, {}, &Plain::tick);
     REQUIRE(wheel.size() == plain.size());
-    if (!plain.empty()) REQUIRE(wheel.Next() <= plain.front().tick * TimerWheel::kTick);
+    if (!plain.empty()) REQUIRE(wheel.NextDeadline() <= plain.front().tick * TimerWheel::kTick);
     now += static_cast<Time>(random() % (random() % 50 == 0 ? 20 * kSecond : 8 * kMs));
     ran.clear();
     wheel.Advance(now);
