--- a/bench/backfill_bench.cpp
+++ b/bench/backfill_bench.cpp
@@ -23,20 +23,20 @@
 #include <random>
 
 #include "backfill/backfill.h"
-#include "backfill/from_estimates.h"
+#include "backfill/estimator_run_time_predictor.h"
 
 namespace {
 
 using namespace cluster_manager::backfill;
-using cluster_manager::estimates::End;
-using cluster_manager::estimates::Estimates;
+using cluster_manager::estimates::Outcome;
+using cluster_manager::estimates::RunTimeEstimator;
 using scheduling::RequestId;
 
 constexpr Time kStart = Time{1'700'000'000} * kSecond, kTick = 100 * kMs;
 constexpr int kManagers = 3, kNodeCores = 16;
 
-struct All : Rules {
-  bool MayStand(NodeId, const Task&, Time) const override { return true; }
+struct All : PlacementConstraints {
+  bool Allows(NodeId, const Task&, Time) const override { return true; }
 };
 
 // Lends each node's right at once, by the rule of budgets: again only when given back or ended.
@@ -51,29 +51,29 @@
   Time now = 0;
 };
 
-struct Port : Rights {
+struct Port : Leases {
   Lender* lender = nullptr;
   Backfill* to = nullptr;
   int member = 0;
-  Part Of(NodeId) const override { return Part::kAsked; }
-  void Want(NodeId node, Time, Time) override {
+  Access AccessTo(NodeId) const override { return Access::kOnRequest; }
+  void Request(NodeId node, Time, Time) override {
     Lender::Lease& lease = lender->leases[node];
     if (lease.member >= 0 && lease.member != member && lender->now < lease.ends + 200 * kMs) {
-      to->Lost(node, lender->epoch, lender->now);
+      to->OnLeaseLost(node, lender->epoch, lender->now);
       return;
     }
     lease = {member, ++lender->epoch, lender->now + 10 * kSecond};
-    to->Granted(node, lease.epoch, lease.ends, lender->now);
+    to->OnLeaseGranted(node, lease.epoch, lease.ends, lender->now);
   }
-  void GiveBack(NodeId node, std::uint64_t epoch) override {
+  void Release(NodeId node, std::uint64_t epoch) override {
     Lender::Lease& lease = lender->leases[node];
     if (lease.member == member && lease.epoch == epoch) lease.member = -1;
   }
 };
 
 struct Manager {
-  Estimates estimates;
-  EstimatedLives lives{&estimates};
+  RunTimeEstimator estimates;
+  EstimatorRunTimePredictor lives{&estimates};
   All rules;
   Port port;
   std::unique_ptr<Backfill> backfill;
@@ -109,15 +109,15 @@
     for (std::uint32_t i = 0; i < kManagers; ++i) {
       managers_.push_back(std::make_unique<Manager>(i));
       Manager& m = *managers_.back();
-      Terms terms;
+      Parameters terms;
       terms.members = kManagers;
-      terms.quantile = {0.9, 0.8};
+      terms.run_time_quantiles = {0.9, 0.8};
       m.port.lender = &lender_;
       m.port.member = static_cast<int>(i);
       m.backfill = std::make_unique<Backfill>(terms, &m.port, &m.lives, &m.rules);
       m.port.to = m.backfill.get();
       for (int node = 0; node < nodes; ++node) {
-        m.backfill->Listed(static_cast<NodeId>(node), {kNodeCores, 64, 0, true}, now_);
+        m.backfill->UpdateNode(static_cast<NodeId>(node), {kNodeCores, 64, 0, true}, now_);
       }
     }
     const double work = load * nodes * kNodeCores;  // core seconds a second
@@ -148,10 +148,11 @@
         ++row_.large_left;
       }
       const Counters& c = m->backfill->counters();
-      row_.fills += c.fills;
-      row_.overstays += c.overstays;
-      row_.reserved += c.reserved;
-      for (const Why why : {Why::kBroken, Why::kRight}) row_.dropped += c.dropped[static_cast<int>(why)];
+      row_.fills += c.backfilled;
+      row_.overstays += c.overruns;
+      row_.reserved += c.reservations;
+      for (const DropReason why : {DropReason::kMissed, DropReason::kNoLease})
+        row_.dropped += c.dropped[static_cast<int>(why)];
     }
     row_.look_us = look_ns_ / static_cast<double>(std::max<std::int64_t>(looks_, 1)) / 1000;
     row_.fill_ns = fill_ns_ / static_cast<double>(std::max<std::int64_t>(asked_, 1));
@@ -195,8 +196,8 @@
       free_[live.node] += static_cast<int>(live.task.cores);
       Manager& of = *managers_[static_cast<std::size_t>(live.manager)];
       if (on_) {
-        of.estimates.Ended(id, live.cut > 0 ? End::kCut : End::kDone, now_);
-        for (auto& m : managers_) m->backfill->Over(id, now_);
+        of.estimates.OnTaskEnded(id, live.cut > 0 ? Outcome::kCensored : Outcome::kCompleted, now_);
+        for (auto& m : managers_) m->backfill->OnTaskEnded(id, now_);
       }
       live_.erase(id);
     }
@@ -205,7 +206,7 @@
   bool MayFill(Manager& m, NodeId node, const Task& task) {
     if (!on_) return true;
     const auto from = std::chrono::steady_clock::now();
-    const bool may = m.backfill->MayFill(node, task, now_);
+    const bool may = m.backfill->AllowsStart(node, task, now_);
     fill_ns_ += std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - from).count();
     ++asked_;
     return may;
@@ -216,14 +217,14 @@
     free_[node] -= static_cast<int>(live.task.cores);
     ends_.emplace(now_ + (live.cut > 0 ? live.cut : live.lives), live.task.id);
     if (!on_) return;
-    m.estimates.Started(live.task, now_, now_);
-    for (auto& each : managers_) each->backfill->Stands(live.task, node, now_, now_, each.get() == &m);
+    m.estimates.OnTaskStarted(live.task, now_, now_);
+    for (auto& each : managers_) each->backfill->OnTaskStarted(live.task, node, now_, now_, each.get() == &m);
   }
 
   bool PlaceLarge(Manager& m, Live& live, bool counts) {
     const auto cores = static_cast<int>(live.task.cores);
     std::optional<NodeId> held;
-    if (on_) held = m.backfill->HeldFor(live.task.id, now_);
+    if (on_) held = m.backfill->ReservedNode(live.task.id, now_);
     NodeId node = 0;
     const auto fits = [&](NodeId n) { return free_[n] >= cores && MayFill(m, n, live.task); };
     if (held && fits(*held)) {
@@ -241,7 +242,7 @@
       }
     }
     m.promised.erase(live.task.id);
-    if (on_) m.backfill->NoLonger(live.task.id, true, now_);
+    if (on_) m.backfill->RemoveWaitingTask(live.task.id, true, now_);
     Place(m, live, node);
     return true;
   }
@@ -250,7 +251,7 @@
     std::erase_if(m.large, [&](RequestId id) {
       Live& live = live_.at(id);
       if (PlaceLarge(m, live, counts)) return true;
-      if (on_) m.backfill->Waits(live.task, now_);
+      if (on_) m.backfill->AddWaitingTask(live.task, now_);
       return false;
     });
     int looked = 0;
@@ -276,26 +277,26 @@
     std::map<NodeId, int> holders;
     for (auto& m : managers_) {
       const auto from = std::chrono::steady_clock::now();
-      m->backfill->Look(now_);
+      m->backfill->Update(now_);
       look_ns_ += std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - from).count();
       ++looks_;
-      for (const Reservation& r : m->backfill->Held(now_)) {
+      for (const Reservation& r : m->backfill->ActiveReservations(now_)) {
         row_.twice += ++holders[r.node] > 1;
-        m->promised.try_emplace(r.task.id, r.promised);
+        m->promised.try_emplace(r.task.id, r.first_expected_start);
       }
     }
     for (std::uint32_t from = 0; from < kManagers; ++from) {
       for (std::uint32_t to = 0; to < kManagers; ++to) {
         if (from == to) continue;
         // What is over is said by no longer being said: `until` is short here.
-        for (Told told : managers_[from]->backfill->Says(from, now_)) {
-          told.until = std::min(told.until, now_ + 2 * kTick);
-          managers_[to]->backfill->Hear(told, now_);
+        for (Announcement told : managers_[from]->backfill->BuildAnnouncements(from, now_)) {
+          told.valid_until = std::min(told.valid_until, now_ + 2 * kTick);
+          managers_[to]->backfill->OnAnnouncement(told, now_);
         }
         if ((now_ - kStart) % (5 * kSecond) != 0) continue;
         auto& heard = managers_[to]->heard[from];
-        const auto said = managers_[from]->estimates.Delta(heard, 200, now_);
-        heard = said.up_to;
+        const auto said = managers_[from]->estimates.BuildDelta(heard, 200, now_);
+        heard = said.up_to_version;
         managers_[to]->estimates.Merge(said);
       }
     }
--- a/bench/estimates_bench.cpp
+++ b/bench/estimates_bench.cpp
@@ -21,14 +21,14 @@
 #include <random>
 #include <string>
 
-#include "estimates/estimates.h"
+#include "estimates/run_time_estimator.h"
 
 namespace {
 
-using cluster_manager::estimates::End;
-using cluster_manager::estimates::Estimates;
+using cluster_manager::estimates::Outcome;
+using cluster_manager::estimates::Parameters;
+using cluster_manager::estimates::RunTimeEstimator;
 using cluster_manager::estimates::Task;
-using cluster_manager::estimates::Terms;
 using cluster_manager::estimates::Time;
 
 constexpr Time kSecond = 1'000'000'000, kStart = Time{1'700'000'000} * kSecond;
@@ -47,9 +47,9 @@
 };
 
 struct Ours : Method {
-  Ours(bool word, Terms terms) : word(word), estimates(terms, 1, 1) {}
+  Ours(bool word, Parameters terms) : word(word), estimates(terms, 1, 1) {}
   bool word;
-  Estimates estimates;
+  RunTimeEstimator estimates;
   Task Heard(Task task) const {
     if (!word) task.expected_duration = 0;
     return task;
@@ -59,11 +59,11 @@
     return {static_cast<double>(estimates.Quantile(Heard(task), 0.5, now)) * 1e-9,
             static_cast<double>(estimates.Quantile(Heard(task), 0.9, now)) * 1e-9};
   }
-  void Started(const Task& task, Time now) override { estimates.Started(Heard(task), now, now); }
+  void Started(const Task& task, Time now) override { estimates.OnTaskStarted(Heard(task), now, now); }
   void Ended(const Task& task, Time, bool cut, Time now) override {
-    estimates.Ended(task.id, cut ? End::kCut : End::kDone, now);
+    estimates.OnTaskEnded(task.id, cut ? Outcome::kCensored : Outcome::kCompleted, now);
   }
-  std::size_t Bytes() const override { return estimates.Bytes(); }
+  std::size_t Bytes() const override { return estimates.MemoryBytes(); }
 };
 
 struct LastTwo : Method {
@@ -237,8 +237,8 @@
 int main(int argc, char** argv) {
   const int tasks = argc > 1 ? std::atoi(argv[1]) : 20'000;
   const std::uint64_t seed = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1;
-  Terms terms;
-  if (argc > 3) terms.half_life = static_cast<Time>(std::atof(argv[3]) * 3600 * kSecond);
+  Parameters terms;
+  if (argc > 3) terms.halving_period = static_cast<Time>(std::atof(argv[3]) * 3600 * kSecond);
   std::printf("%-20s %-24s %6s %7s %7s %6s | %9s %8s | %8s %8s %9s\n", "workload", "method", "error",
               "in 0.5", "in 0.9", "wide", "new error", "new 0.9", "note ns", "ask ns", "KiB");
   for (const Load load : {Load::kLognormal, Load::kBimodal, Load::kDrift, Load::kCensored}) {
--- a/bench/fleet_settings.h
+++ b/bench/fleet_settings.h
@@ -13,7 +13,7 @@
   s.classes.resize(3);
   s.classes[0].retry_safety = RetrySafety::kIdempotent;
   s.classes[1].retry_safety = RetrySafety::kIdempotencyKey;
-  s.classes[1].key_scope = FailureDomain::kFleet;
+  s.classes[1].key_scope = FailureDomain::kCluster;
   s.classes[1].key_ttl = 6 * kSecond;
   s.classes[1].spread_domain = FailureDomain::kRack;
   s.classes[1].spread_limit = 3;
--- a/bench/libraries/store_probe.cpp
+++ b/bench/libraries/store_probe.cpp
@@ -43,12 +43,12 @@
     std::string fault;
     store = cluster_manager::store::Store::Open(file, {}, &fault);
     Require(store != nullptr, fault.c_str());
-    next += store->TakeContent().entries.size();
+    next += store->ReleaseContent().entries.size();
   }
   void Append() {
     cluster_manager::store::Batch batch;
-    batch.state = cluster_manager::store::State{1, 1, next, 1};
-    batch.first = next++;
+    batch.state = cluster_manager::store::PersistentState{1, 1, next, 1};
+    batch.first_index = next++;
     batch.entries = {{1, 1, cluster_manager::store::Bytes(kBytes, 7)}};
     std::string fault;
     Require(store->Append(batch, &fault), fault.c_str());
--- a/bench/record_stream/day.cpp
+++ b/bench/record_stream/day.cpp
@@ -54,7 +54,7 @@
   reply_.str("");
   for (std::string line; std::getline(in, line);) {
     std::printf("> %s\n", line.c_str());
-    host_.Line(line);
+    host_.ProcessLine(line);
   }
   std::istringstream out(reply_.str());
   for (std::string line; std::getline(out, line);) {
--- a/bench/standin/common.h
+++ b/bench/standin/common.h
@@ -76,7 +76,7 @@
   std::map<std::string, int> counts_, wanted_;
 };
 
-inline Records::Field Id(protocol::TaskId id) { return {"id", protocol::TaskText(id)}; }
+inline Records::Field Id(protocol::TaskId id) { return {"id", protocol::FormatTaskId(id)}; }
 
 int Nodes(const Flags& flags);
 int ServeBulletin(const Flags& flags);
--- a/bench/standin/front.cpp
+++ b/bench/standin/front.cpp
@@ -105,7 +105,7 @@
     ways_[way].since = loop_->Now();
   }
   void OnConnected(Connection& connection) override {
-    Writer(connection.write_queue(), Type::kTest, 1 + connection.tag).Add(Cause::kTestFailed);
+    Writer(connection.write_queue(), Type::kHealthCheck, 1 + connection.tag).Add(Cause::kHealthCheckFailed);
   }
   void OnClosed(Connection& connection, CloseReason ending) override {
     const std::size_t way = connection.tag;
@@ -184,12 +184,12 @@
                      {"wait_ms", std::to_string(kind.wait_ms)},
                      {"try", std::to_string(asked.tries)}});
     {
-      Writer message(way.write_queue(), Type::kSetUp, id);
-      message.Add(Code::kClass, kind.name).Add(Code::kWait, std::int64_t{kind.wait_ms});
+      Writer message(way.write_queue(), Type::kTaskRequest, id);
+      message.Add(Code::kClass, kind.name).Add(Code::kTimeoutMs, std::int64_t{kind.wait_ms});
       message.Add(Code::kTenant, asked.name[0] < '8' ? "shop-a" : "shop-b");
       if (asked.tries > 1) message.Add(Code::kRetry, "1");
-      message.Add(Code::kName, asked.name).Add(Code::kFigures, asked.figures);
-      if (asked.kind == 1) message.Add(Code::kKey, asked.name + asked.name);
+      message.Add(Code::kName, asked.name).Add(Code::kResources, asked.figures);
+      if (asked.kind == 1) message.Add(Code::kIdempotencyKey, asked.name + asked.name);
       message.Add(Code::kDescription, "d:" + std::to_string(loop_->Now()) + asked.words);
     }
     asked.patience = loop_->After(kind.wait_ms * kMs + 400 * kMs, [this, id] { GiveUp(id); });
@@ -232,7 +232,7 @@
   }
   void Take(Connection& connection, const Message& m) {
     const std::size_t way = connection.tag;
-    if (m.type == Type::kTestResult) {
+    if (m.type == Type::kHealthCheckResult) {
       if (m.CauseOr(0) != 1) return;
       if (!std::exchange(ways_[way].tested, true))
         records_->Write(Who(way), "way_up", {{"m", Named(Manager(way))}});
@@ -241,7 +241,7 @@
     }
     const auto asked = open_.find(m.task);
     if (asked != open_.end()) {
-      if (m.type == Type::kAnswer) {
+      if (m.type == Type::kTaskAccepted) {
         const std::string words(m.Get(Code::kDescription));
         const std::string uid = words.substr(words.rfind(':') + 1);
         const Asked& a = asked->second;
@@ -251,22 +251,22 @@
       } else if (m.type == Type::kRelease) {
         const int cause = m.CauseOr(0);
         const bool refused = cause == 34 || cause == 42 || cause == 102;
-        const Time away = std::strtoll(std::string(m.Get(Code::kStayAway)).c_str(), nullptr, 10) * kMs;
+        const Time away = std::strtoll(std::string(m.Get(Code::kRetryAfterMs)).c_str(), nullptr, 10) * kMs;
         Over(m.task, refused ? "refused" : "failed",
              refused ? std::to_string(away / kMs) : std::to_string(cause), true, away, refused);
       }
       return;
     }
     const auto stands = standing_.find(m.task);
-    if (m.type == Type::kRelease || m.type == Type::kMove) {
+    if (m.type == Type::kRelease || m.type == Type::kMigration) {
       const bool known = stands != standing_.end();
       records_->Write(Who(way), known ? "over" : "over_again",
                       {Id(m.task),
-                       {"figure", m.type == Type::kMove ? "move" : std::to_string(m.CauseOr(0))},
+                       {"figure", m.type == Type::kMigration ? "move" : std::to_string(m.CauseOr(0))},
                        {"m", Named(Manager(way))}});
-      Writer(connection.write_queue(), Type::kReleaseHeard, m.task);
+      Writer(connection.write_queue(), Type::kReleaseConfirmed, m.task);
       if (known) standing_.erase(stands);
-    } else if (m.type == Type::kAnswer) {
+    } else if (m.type == Type::kTaskAccepted) {
       records_->Write(Who(way), "answer_again", {Id(m.task), {"m", Named(Manager(way))}});
     }
   }
@@ -314,12 +314,12 @@
     stands.since = loop_->Now();
     const std::size_t way = static_cast<std::size_t>(stands.owner * managers_ + stands.manager);
     records_->Write(Who(way), "hand", {Id(id), {"m", Named(stands.manager)}, {"uid", stands.uid}});
-    const std::string name = protocol::TaskText(id);
-    Writer message(ways_[way].connection->write_queue(), Type::kSetUp, id);
-    message.Add(Code::kClass, kKinds[stands.kind].name).Add(Code::kWait, std::int64_t{3000});
+    const std::string name = protocol::FormatTaskId(id);
+    Writer message(ways_[way].connection->write_queue(), Type::kTaskRequest, id);
+    message.Add(Code::kClass, kKinds[stands.kind].name).Add(Code::kTimeoutMs, std::int64_t{3000});
     message.Add(Code::kTenant, name[0] < '8' ? "shop-a" : "shop-b").Add(Code::kName, name);
-    message.Add(Code::kFigures, stands.figures + ";at:" + stands.uid);
-    if (stands.kind == 1) message.Add(Code::kKey, name + name);
+    message.Add(Code::kResources, stands.figures + ";at:" + stands.uid);
+    if (stands.kind == 1) message.Add(Code::kIdempotencyKey, name + name);
     message.Add(Code::kDescription, "d:0:");
   }
 
--- a/bench/standin/nodes.cpp
+++ b/bench/standin/nodes.cpp
@@ -124,15 +124,15 @@
     connections_.erase(gone);
   }
   void Take(Connection& connection, const Message& m) {
-    if (m.type == Type::kTest) {
+    if (m.type == Type::kHealthCheck) {
       char report[64];
       const double used = std::max(0.5 * static_cast<double>(tasks_.size()), asked_cores_ * 0.5);
       std::snprintf(report, sizeof report, "x0:%.2f;x1:%.2f;queue:0",
                     ways_.cores - std::min(used, ways_.cores - 1),
                     ways_.memory - std::min(std::max(used, asked_memory_ * 0.6), ways_.memory - 4));
-      Writer(connection.write_queue(), Type::kTestResult, m.task)
-          .Add(Cause::kTestPassed)
-          .Add(Code::kReport, report);
+      Writer(connection.write_queue(), Type::kHealthCheckResult, m.task)
+          .Add(Cause::kHealthCheckPassed)
+          .Add(Code::kLoadReport, report);
       return;
     }
     if (m.type == Type::kRelease) {
@@ -145,7 +145,7 @@
       if (stood) Writer(connection.write_queue(), Type::kRelease, m.task).Add(Cause::kCancelled);
       return;
     }
-    if (m.type == Type::kSetUp) SetUp(connection, m);
+    if (m.type == Type::kTaskRequest) SetUp(connection, m);
   }
   void SetUp(Connection& connection, const Message& m) {
     const Time now = loop_->Now();
@@ -168,8 +168,8 @@
     if (full || Draw(random_) < ways_.refuse) {
       records_->Write(name_, "refuse", {Id(id)});
       Writer(connection.write_queue(), Type::kRelease, id)
-          .Add(Cause::kFull)
-          .Add(Code::kNote, full ? "cpu_full" : "busy");
+          .Add(Cause::kNoCapacity)
+          .Add(Code::kDetail, full ? "cpu_full" : "busy");
       return;
     }
     const double age = booted_ == 0 ? 1 : static_cast<double>(now - booted_) / (ways_.cold_ms * kMs);
@@ -192,7 +192,7 @@
     records_->Write(name_, "answer", {Id(id), {"uid", uid_}});
     const std::string words =
         "u:" + std::to_string(loop_->Now()) + ":" + std::to_string(in_program) + ":" + uid_;
-    Writer(way->second->write_queue(), Type::kAnswer, id).Add(Code::kDescription, words);
+    Writer(way->second->write_queue(), Type::kTaskAccepted, id).Add(Code::kDescription, words);
     task.timer = loop_->After(life, [this, id] { End(id); });
   }
   void End(TaskId id) {
--- a/bench/standin/owners.cpp
+++ b/bench/standin/owners.cpp
@@ -95,15 +95,15 @@
     std::string words = "d:" + std::to_string(loop_->Now()) + ":";
     words.resize(std::max(bytes_, words.size()), '.');
     open_[id] = {};
-    Writer message(way->write_queue(), Type::kSetUp, id);
+    Writer message(way->write_queue(), Type::kTaskRequest, id);
     message.Add(Code::kClass, rare    ? "settlement"
                               : keyed ? "card-worker"
                                       : "web-api")
-        .Add(Code::kWait, std::int64_t{wait_ms_})
+        .Add(Code::kTimeoutMs, std::int64_t{wait_ms_})
         .Add(Code::kTenant, random_(2) == 0 ? "shop-a" : "shop-b")
         .Add(Code::kName, text)
-        .Add(Code::kFigures, figures);
-    if (keyed) message.Add(Code::kKey, std::string(text) + text);
+        .Add(Code::kResources, figures);
+    if (keyed) message.Add(Code::kIdempotencyKey, std::string(text) + text);
     message.Add(Code::kDescription, words);
   }
   std::size_t OnData(Connection& connection, std::string_view data) override {
@@ -120,7 +120,7 @@
       ++stray_;
       return;
     }
-    if (m.type == Type::kAnswer) {
+    if (m.type == Type::kTaskAccepted) {
       if (std::exchange(it->second.answered, true)) {
         ++doubled_;
         return;
@@ -138,7 +138,7 @@
     if (m.type != Type::kRelease) return;
     if (it->second.answered) {
       ++ended_;
-      Writer(connection.write_queue(), Type::kReleaseHeard, m.task);
+      Writer(connection.write_queue(), Type::kReleaseConfirmed, m.task);
     } else {
       const int cause = m.CauseOr(0);
       ++(cause == 34 || cause == 42 || cause == 102 ? refused_ : failed_);
--- a/bench/standin/relay_link.cpp
+++ b/bench/standin/relay_link.cpp
@@ -65,8 +65,8 @@
     seen_ += data;
     bool malformed = false;
     const std::size_t taken = protocol::DecodeAll(seen_, &malformed, [&](const Message& m) {
-      if (m.type == Type::kSetUp || m.type == Type::kRelease) {
-        pair_->network->records->Write(pair_->name, m.type == Type::kSetUp ? "offered" : "released",
+      if (m.type == Type::kTaskRequest || m.type == Type::kRelease) {
+        pair_->network->records->Write(pair_->name, m.type == Type::kTaskRequest ? "offered" : "released",
                                        {Id(m.task), {"link", std::to_string(number_)}});
       }
       return true;
--- a/bench/structures_bench.cpp
+++ b/bench/structures_bench.cpp
@@ -46,7 +46,7 @@
   benchmark::DoNotOptimize(sum);
 }
 
-const RatioIndex::Rooms kNeed{1, 1, 1, 1};
+const RatioIndex::Capacities kNeed{1, 1, 1, 1};
 
 void LeastByScan(benchmark::State& state) {
   std::vector<std::pair<double, std::uint32_t>> all;
@@ -55,7 +55,7 @@
     for (std::uint32_t i = 0; i < plain.size(); ++i) {
       const RatioIndex::Entry& e = plain[i];
       bool has = true;
-      for (std::size_t r = 0; r < kNeed.size(); ++r) has = has && e.room[r] >= kNeed[r];
+      for (std::size_t r = 0; r < kNeed.size(); ++r) has = has && e.capacity[r] >= kNeed[r];
       if (has) all.emplace_back((e.load + extra) / e.weight, i);
     }
     std::partial_sort(all.begin(), all.begin() + 8, all.end());
@@ -69,7 +69,7 @@
   LeastEight(state, [](RatioIndex* index, const auto&, double extra) {
     std::uint64_t sum = 0;
     int met = 0;
-    index->Ascend(extra, kNeed, [&](std::uint32_t slot) {
+    index->VisitAscending(extra, kNeed, [&](std::uint32_t slot) {
       sum += slot;
       return ++met < 8;
     });
@@ -81,7 +81,7 @@
   LeastEight(state, [](RatioIndex* index, const auto&, double extra) {
     std::uint64_t sum = 0;
     int met = 0;
-    index->Least(extra, kNeed, [&](std::uint32_t slot) {
+    index->VisitLeast(extra, kNeed, [&](std::uint32_t slot) {
       sum += slot;
       return ++met < 8;
     });
@@ -135,7 +135,7 @@
   BlockPool pool;
   const std::string text(300, 'x');
   for (auto _ : state) {
-    BlockPool::Ref block = pool.Make(text.size());
+    BlockPool::Ref block = pool.Allocate(text.size());
     block.Append(text);
     BlockPool::Ref other = block;
     benchmark::DoNotOptimize(other.data());
--- a/include/scheduling/events.h
+++ b/include/scheduling/events.h
@@ -165,7 +165,7 @@
 struct SettingsChanged {
   std::shared_ptr<const Settings> settings;
   // By class: the position whose learned estimates it begins with, its own to keep them, -1: initial ones.
-  std::vector<int> learns_from;
+  std::vector<int> estimate_sources;
 };
 
 // This process ends at `by`; every request is answered before.
--- a/include/scheduling/scheduler.h
+++ b/include/scheduling/scheduler.h
@@ -26,7 +26,7 @@
   virtual int AssignRank(const Task& task, bool over_share, bool large, Time now) = 0;
   virtual bool Admits(int rank, const Task& task) const = 0;
   // Whether requests of the class that only a lost zone may still hold are rejected.
-  virtual bool RejectsBoundRequests(int class_index) const = 0;
+  virtual bool RejectsZoneBoundRequests(int class_index) const = 0;
   // Nanoseconds after which a request of this rank may come again.
   virtual Time RetryAfter(int rank, const Task& task) const = 0;
 
--- a/include/scheduling/settings.h
+++ b/include/scheduling/settings.h
@@ -74,7 +74,7 @@
   double slow_start_sends = 0;  // attempts that a node warming up survives in an overload window
   Time tick = 0;                // step of the caller's clock
   Time answer_slack = 0;
-  Time subscribe_within = 0;  // a subscription is to stand within this; 0: no limit
+  Time subscription_timeout = 0;  // a subscription is to stand within this; 0: no limit
   Time slow_start_duration = 0;
   double slow_start_initial_speed = 1;  // speed of a node that has just come up, as a share of its full one
   Time overload_window = 0;
--- a/src/backfill/rights.cpp
+++ b/src/backfill/rights.cpp
@@ -9,7 +9,7 @@
   // says the members, so a change of it needs the order of the budgets: shrinking before growing.
   std::uint32_t first = 0;
   for (std::uint32_t i = 1; i < members_; ++i) {
-    if (HashDraw(node, i) > HashDraw(node, first)) first = i;
+    if (HashToUnitInterval(node, i) > HashToUnitInterval(node, first)) first = i;
   }
   return first == member_ ? Part::kOwn : Part::kNever;
 }
--- a/src/budgets/budget_file.cpp
+++ b/src/budgets/budget_file.cpp
@@ -14,13 +14,13 @@
 namespace cluster_manager::budgets {
 namespace {
 
-using json_files::Below;
-using json_files::Listed;
-using json_files::Plain;
+using json_files::FormatNumber;
+using json_files::JoinList;
+using json_files::JoinPath;
 using nlohmann::json;
 
 std::string FormatUnits(Micro micro) {
-  return Plain(static_cast<double>(micro) / static_cast<double>(kUnit));
+  return FormatNumber(static_cast<double>(micro) / static_cast<double>(kUnit));
 }
 
 // Reads the types of fields that the budgets document has.
@@ -40,7 +40,7 @@
                   double unit, std::int64_t* to) {
     const auto it = in.find(name);
     if (it == in.end()) return false;
-    return ReadExactNumber(*it, Below(place, name), least, most, unit, to);
+    return ReadExactNumber(*it, JoinPath(place, name), least, most, unit, to);
   }
   bool ReadExactNumber(const json& value, const std::string& here, double least, double most, double unit,
                        std::int64_t* to) {
@@ -60,7 +60,7 @@
     const auto it = in.find(name);
     if (it == in.end() && !default_value.empty()) return default_value;
     if (it != in.end() && it->is_string() && !it->get<std::string>().empty()) return it->get<std::string>();
-    AddError(Below(place, name),
+    AddError(JoinPath(place, name),
              (it == in.end() ? "is missing" : "is " + it->dump()) + ", write a non-empty string");
     return "";
   }
@@ -102,7 +102,7 @@
   if (type == BudgetTypes().end()) {
     if (!rule.name.empty())
       reader->AddError(place + ".name",
-                       "is " + json(rule.name).dump() + ", write one of: " + Listed(BudgetNames()));
+                       "is " + json(rule.name).dump() + ", write one of: " + JoinList(BudgetNames()));
     return;
   }
   rule.kind = type->kind;
@@ -193,13 +193,13 @@
       add_error("members", "has the name " + json(member.name).dump() + " twice, write each once");
   }
   if (budgets.lease_duration < 4 * budgets.max_clock_skew)
-    add_error("lease_ms", "is " + Plain(static_cast<double>(budgets.lease_duration) / kNanosPerMs) +
+    add_error("lease_ms", "is " + FormatNumber(static_cast<double>(budgets.lease_duration) / kNanosPerMs) +
                               ", write at least 4 * skew_ms, " +
-                              Plain(static_cast<double>(4 * budgets.max_clock_skew) / kNanosPerMs));
+                              FormatNumber(static_cast<double>(4 * budgets.max_clock_skew) / kNanosPerMs));
   if (budgets.report_interval > budgets.lease_duration / 4)
-    add_error("report_ms", "is " + Plain(static_cast<double>(budgets.report_interval) / kNanosPerMs) +
+    add_error("report_ms", "is " + FormatNumber(static_cast<double>(budgets.report_interval) / kNanosPerMs) +
                                ", write at most lease_ms / 4, " +
-                               Plain(static_cast<double>(budgets.lease_duration) / 4 / kNanosPerMs));
+                               FormatNumber(static_cast<double>(budgets.lease_duration) / 4 / kNanosPerMs));
   std::set<std::pair<std::string, std::string>> patterns;
   for (std::size_t i = 0; i < budgets.rules.size(); ++i) {
     const Rule& rule = budgets.rules[i];
@@ -247,7 +247,7 @@
   return budgets;
 }
 
-BudgetFile LoadBudgets(const std::string& file) { return ReadBudgets(json_files::Load(file), file); }
+BudgetFile LoadBudgets(const std::string& file) { return ReadBudgets(json_files::LoadDocument(file), file); }
 
 json ToJson(const BudgetFile& budgets) {
   const auto divide = [](std::int64_t value, double unit) -> json {
--- a/src/budgets/member_share.cpp
+++ b/src/budgets/member_share.cpp
@@ -107,8 +107,8 @@
   // process may have used the key.
   holding.filled_at = std::max(started_at_, now - RuleOf(file_, key).window);
   holding.sampled_at = holding.last_used_at = now;
-  holding.fast_rate.Begin(now);
-  holding.slow_rate.Begin(now);
+  holding.fast_rate.StartAt(now);
+  holding.slow_rate.StartAt(now);
   return &holding;
 }
 
@@ -128,8 +128,8 @@
   (acquired ? counters_.acquired : counters_.denied) += 1;
   const Rule& rule = RuleOf(file_, key);
   if (rule.kind == Kind::kRate) {
-    holding->fast_rate.Note(now, static_cast<double>(amount));
-    holding->slow_rate.Note(now, static_cast<double>(amount));
+    holding->fast_rate.Record(now, static_cast<double>(amount));
+    holding->slow_rate.Record(now, static_cast<double>(amount));
   } else if (rule.kind == Kind::kConcurrency) {
     const double elapsed_seconds = static_cast<double>(now - holding->sampled_at) / kSecond;
     const double decayed_shortfall = static_cast<double>(holding->shortfall) * std::exp(-elapsed_seconds);
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -24,7 +24,7 @@
 
 enum Exit { kDone = 0, kErrors = 1, kUsage = 2 };
 
-class DiskFiles final : public config_language::Files {
+class DiskFiles final : public config_language::FileSystem {
  public:
   std::optional<std::string> Read(const std::string& path) override {
     std::error_code error;
@@ -85,7 +85,7 @@
               config_language::Evaluator* evaluator, std::size_t* settings) {
   for (const config_language::Statement& s : statements) {
     if (s.form == config_language::Statement::Form::kSetting) {
-      evaluator->Of(s.value);
+      evaluator->Evaluate(s.value);
       ++*settings;
     }
     Evaluate(s.body, evaluator, settings);
@@ -100,7 +100,7 @@
   std::size_t settings = 0;
   Evaluate(program.settings, &evaluator, &settings);
   Evaluate(program.blocks, &evaluator, &settings);
-  for (const auto& [name, constant] : program.constants) evaluator.Of(constant.value);
+  for (const auto& [name, constant] : program.constants) evaluator.Evaluate(constant.value);
   if (Tell(diagnostics, program.sources)) return kErrors;
   std::printf("%s: good; %zu files, %zu blocks, %zu settings, %zu constants\n", path.c_str(),
               program.sources.size(), program.blocks.size(), settings, program.constants.size());
@@ -168,7 +168,7 @@
     }
     return kDone;
   }
-  const config_language::Explanation* e = config_language::Explain(code);
+  const config_language::Explanation* e = config_language::FindExplanation(code);
   if (e == nullptr) {
     std::fprintf(stderr, "no error has the code %s; `cluster_manager explain` lists them\n", code.c_str());
     return kUsage;
--- a/src/cli/sites_command.cpp
+++ b/src/cli/sites_command.cpp
@@ -24,7 +24,7 @@
 
 json ReadJson(const std::string& path) {
   try {
-    return json_files::Load(path);
+    return json_files::LoadDocument(path);
   } catch (const std::runtime_error& error) {
     throw UsageError(error.what());
   }
@@ -79,8 +79,8 @@
   } catch (const std::exception& error) {
     throw UsageError(path + ": " + error.what());
   }
-  read.deployment = zone_failover::DeploymentOf(read.config.settings, read.config.zones);
-  read.known = read.config.known;
+  read.deployment = zone_failover::DeploymentFromSettings(read.config.settings, read.config.zones);
+  read.known = read.config.known_list;
   return read;
 }
 
@@ -103,8 +103,8 @@
   return Run([&] {
     const Read read = ReadConfigFile(call.config);
     const zone_failover::Plan plan = zone_failover::LoadPlan(call.plan, read.deployment);
-    std::printf("%s: good; %d ranks, %zu sites\n", call.plan.c_str(), plan.ranks(),
-                read.deployment.sites.size());
+    std::printf("%s: good; %d ranks, %zu sites\n", call.plan.c_str(), plan.rank_count(),
+                read.deployment.zones.size());
     return 0;
   });
 }
@@ -118,14 +118,14 @@
     std::vector<zone_failover::DrillNode> nodes;
     for (const auto& [uid, target] : Targets(call.list.empty() ? read.known : ReadJson(call.list), from)) {
       zone_failover::DrillNode node;
-      node.site = NumberOf(read.deployment.sites, target.value("az", ""));
-      if (node.site < 0) {
+      node.zone = NumberOf(read.deployment.zones, target.value("az", ""));
+      if (node.zone < 0) {
         std::string text = from;
         text.append(": ").append(uid).append(" stands in ").append(target["az"].dump());
-        text.append(", which the settings do not name: ").append(json_files::Listed(read.deployment.sites));
+        text.append(", which the settings do not name: ").append(json_files::JoinList(read.deployment.zones));
         throw UsageError(text);
       }
-      const int kind = std::max(0, NumberOf(read.config.kinds, target.value("model", "")));
+      const int kind = std::max(0, NumberOf(read.config.node_kinds, target.value("model", "")));
       node.cores = settings.kind_cores.at(static_cast<std::size_t>(kind));
       node.memory = settings.kind_memory.at(static_cast<std::size_t>(kind));
       const json free = target.value("unasked", json::array({node.cores, node.memory}));
@@ -136,10 +136,10 @@
     }
     std::vector<int> lose;
     for (const std::string& name : call.lose) {
-      lose.push_back(NumberOf(read.deployment.sites, name));
+      lose.push_back(NumberOf(read.deployment.zones, name));
       if (lose.back() < 0)
         throw UsageError("--lose " + name + ": there is no such site, the settings name: " +
-                         json_files::Listed(read.deployment.sites));
+                         json_files::JoinList(read.deployment.zones));
     }
     zone_failover::DrillParameters terms;
     for (const std::string& each : call.mix) {
@@ -150,18 +150,18 @@
       const std::string name = each.substr(0, equals);
       if (share < 0 || NumberOf(read.deployment.classes, name) < 0)
         throw UsageError("--mix " + each + ": write CLASS=SHARE, with a class of: " +
-                         json_files::Listed(read.deployment.classes));
-      terms.mix[name] = share;
+                         json_files::JoinList(read.deployment.classes));
+      terms.demand_shares[name] = share;
     }
-    terms.patience = read.config.dial_timeout;
-    terms.cold = settings.slow_start_duration;
-    terms.fall = settings.overload_window;
-    terms.cold_sends = settings.slow_start_sends;
+    terms.request_timeout = read.config.dial_timeout;
+    terms.slow_start_duration = settings.slow_start_duration;
+    terms.overload_window = settings.overload_window;
+    terms.slow_start_sends = settings.slow_start_sends;
     const zone_failover::Drill drill = zone_failover::RunDrill(plan, read.deployment, nodes, lose, terms);
     const std::string text =
-        call.json ? zone_failover::AsJson(drill).dump(2) + "\n" : zone_failover::AsTable(drill);
+        call.json ? zone_failover::ToJson(drill).dump(2) + "\n" : zone_failover::FormatTable(drill);
     std::fputs(text.c_str(), stdout);
-    return drill.broken.empty() ? 0 : 1;
+    return drill.violations.empty() ? 0 : 1;
   });
 }
 
--- a/src/clients/client_admission.cpp
+++ b/src/clients/client_admission.cpp
@@ -63,7 +63,7 @@
 // to send completions on: the youngest, as its client will keep it longest. It takes no new request, or it
 // would never become empty.
 void ClientFrontend::SelectCompletionConnection() {
-  const bool completions_expected = events_->RunningTasks() > 0 || completions_.pending() > 0;
+  const bool completions_expected = events_->RunningTaskCount() > 0 || completions_.pending_count() > 0;
   const bool needed = accept_mode_ == AcceptMode::kDraining && completions_expected;
   const ClientConnection* current = connections_.Get(completion_connection_);
   if (needed && current != nullptr && !current->IsClosing()) return;
--- a/src/clients/client_completions.cpp
+++ b/src/clients/client_completions.cpp
@@ -20,8 +20,8 @@
 // The connection that the task was requested on; null where it is closed or closing, or did not confirm this
 // completion.
 ClientConnection* ClientFrontend::FindOriginConnection(const CompletionQueue::Completion& completion) {
-  if (completion.origin_connection == completion.unresponsive_connection) return nullptr;
-  ClientConnection* origin = connections_.Get(completion.origin_connection);
+  if (completion.client_connection == completion.unresponsive_connection) return nullptr;
+  ClientConnection* origin = connections_.Get(completion.client_connection);
   return origin != nullptr && !origin->IsClosing() ? origin : nullptr;
 }
 
@@ -37,7 +37,7 @@
 }
 
 void ClientFrontend::MarkServed(ClientConnection* client) {
-  if (client->OnServed() && completions_.pending() > 0) SendPendingCompletions();
+  if (client->OnServed() && completions_.pending_count() > 0) SendPendingCompletions();
 }
 
 // False where no connection can take it now.
@@ -90,7 +90,7 @@
 // sent.
 void ClientFrontend::SendPendingCompletions() {
   bool no_connection = false;
-  for (const CompletionQueue::Completion& completion : completions_.Pending()) {
+  for (const CompletionQueue::Completion& completion : completions_.PendingCompletions()) {
     const bool has_origin = FindOriginConnection(completion) != nullptr;
     if (no_connection && !has_origin) continue;
     if (!TrySendCompletion(completion) && !has_origin) no_connection = true;
@@ -99,7 +99,8 @@
 
 std::vector<std::pair<TaskId, TaskEnd>> ClientFrontend::RemainingCompletions(bool all) const {
   std::vector<std::pair<TaskId, TaskEnd>> remaining;
-  for (const CompletionQueue::Completion& completion : all ? completions_.All() : completions_.Pending()) {
+  for (const CompletionQueue::Completion& completion :
+       all ? completions_.AllCompletions() : completions_.PendingCompletions()) {
     const bool completed = static_cast<Cause>(completion.cause) == Cause::kEnded;
     remaining.emplace_back(completion.task, completed ? TaskEnd::kCompleted : TaskEnd::kAborted);
   }
@@ -108,13 +109,13 @@
 
 void ClientFrontend::SendCompletion(Handle client_connection, TaskId id, TaskEnd over) {
   ++counters.completions_sent;
-  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kReset;
+  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
   QueueCompletion(client_connection, Type::kRelease, id, cause);
 }
 
 void ClientFrontend::SendMigration(Handle client_connection, TaskId id) {
   ++counters.migrations_sent;
-  QueueCompletion(client_connection, Type::kMove, id, Cause::kReset);
+  QueueCompletion(client_connection, Type::kMigration, id, Cause::kAborted);
 }
 
 }  // namespace cluster_manager
--- a/src/clients/client_frontend.cpp
+++ b/src/clients/client_frontend.cpp
@@ -31,7 +31,7 @@
       parser_(classes),
       events_(events),
       listener_(Listen(loop, config, [this](int socket) { OnAccepted(socket); })) {
-  SetDescriptorLimit(config.sockets);
+  SetDescriptorLimit(config.max_descriptors);
   CheckTimeouts();
 }
 
@@ -72,7 +72,7 @@
   counters.completions_assumed_received = completions_.assumed_received();
   counters.completions_expired = completions_.expired();
   counters.completions_dropped_full = completions_.evicted();
-  if (completions_.pending() > 0) SendPendingCompletions();
+  if (completions_.pending_count() > 0) SendPendingCompletions();
   loop_->After(kTimeoutCheckInterval, [this] { CheckTimeouts(); });
 }
 
@@ -139,7 +139,7 @@
     const bool in_message = transport.incomplete_message_since > 0;
     quiescent = quiescent && !first_message_due && !in_message && !transport.HasUnreadBytes();
   });
-  return quiescent && (completions_.pending() == 0 || !any_connected);
+  return quiescent && (completions_.pending_count() == 0 || !any_connected);
 }
 
 void ClientFrontend::CloseAllGracefully() {
--- a/src/clients/client_messages.cpp
+++ b/src/clients/client_messages.cpp
@@ -31,16 +31,16 @@
     return true;
   }
   switch (message.type) {
-    case Type::kSetUp:
+    case Type::kTaskRequest:
       return HandleRequestMessage(transport, message);
     case Type::kRelease:
       std::erase(client->unanswered_requests, message.task);
       events_->OnClientRelease(message.task, handle);
       return true;
-    case Type::kTest:
+    case Type::kHealthCheck:
       HandleHealthCheck(transport, message.task);
       return true;
-    case Type::kReleaseHeard:
+    case Type::kReleaseConfirmed:
       HandleConfirmation(handle, message.task);
       return true;
     default:  // without a meaning from a client
@@ -52,14 +52,14 @@
 void ClientFrontend::HandleMessageWhileClosing(Handle handle, const Message& message) {
   ++counters.client_messages_while_closing;
   if (message.type == Type::kRelease) events_->OnClientRelease(message.task, handle);
-  if (message.type == Type::kReleaseHeard) completions_.MarkConfirmed(message.task, handle);
+  if (message.type == Type::kReleaseConfirmed) completions_.MarkConfirmed(message.task, handle);
 }
 
 void ClientFrontend::HandleHealthCheck(Connection& transport, TaskId id) {
   ++counters.client_health_checks_answered;
   const bool passed = accept_mode_ == AcceptMode::kOpen || accept_mode_ == AcceptMode::kHandingOver;
-  Writer(transport.write_queue(), Type::kTestResult, id)
-      .Add(passed ? Cause::kTestPassed : Cause::kTestFailed);
+  Writer(transport.write_queue(), Type::kHealthCheckResult, id)
+      .Add(passed ? Cause::kHealthCheckPassed : Cause::kHealthCheckFailed);
   connections_.Get(transport.tag)->OnValidRequest();
 }
 
--- a/src/clients/client_replies.cpp
+++ b/src/clients/client_replies.cpp
@@ -50,7 +50,7 @@
   Connection* transport = TakeReplyConnection(client_connection, id);
   if (transport == nullptr) return;
   ++counters.acceptances_sent;
-  Writer(transport->write_queue(), Type::kAnswer, id).Add(Code::kDescription, description);
+  Writer(transport->write_queue(), Type::kTaskAccepted, id).Add(Code::kDescription, description);
   MarkServed(connections_.Get(client_connection));
 }
 
@@ -59,15 +59,15 @@
   if (transport == nullptr) return;
   ++counters.rejections_sent;
   Writer message(transport->write_queue(), Type::kRelease, id);
-  message.Add(Cause::kRefused);
-  if (stay_away > 0) message.Add(Code::kStayAway, (stay_away + kMs - 1) / kMs);
+  message.Add(Cause::kRejected);
+  if (stay_away > 0) message.Add(Code::kRetryAfterMs, (stay_away + kMs - 1) / kMs);
 }
 
 void ClientFrontend::SendFailed(Handle client_connection, TaskId id, TaskEnd over) {
   Connection* transport = TakeReplyConnection(client_connection, id);
   if (transport == nullptr) return;
   ++counters.failures_sent;
-  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kReset;
+  const Cause cause = over == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
   Writer(transport->write_queue(), Type::kRelease, id).Add(cause);
 }
 
--- a/src/clients/request_parser.cpp
+++ b/src/clients/request_parser.cpp
@@ -37,15 +37,16 @@
 ForwardedPayload MakePayload(const Message& message) {
   const std::string_view class_name = message.Get(Code::kClass);
   const std::string_view name = message.Get(Code::kName);
-  const std::string_view key = message.Get(Code::kKey);
+  const std::string_view key = message.Get(Code::kIdempotencyKey);
   const std::string_view description = message.Get(Code::kDescription);
   ForwardedPayload payload;
-  payload.bytes = Blocks().Make(protocol::ParameterBytes(class_name) + protocol::ParameterBytes(name) +
-                                protocol::ParameterBytes(key) + protocol::ParameterBytes(description));
+  payload.bytes = SharedBlockPool().Allocate(
+      protocol::EncodedParameterSize(class_name) + protocol::EncodedParameterSize(name) +
+      protocol::EncodedParameterSize(key) + protocol::EncodedParameterSize(description));
   protocol::AppendParameter(&payload.bytes, Code::kClass, class_name);
   payload.class_end = payload.bytes.size();
   protocol::AppendParameter(&payload.bytes, Code::kName, name);
-  if (!key.empty()) protocol::AppendParameter(&payload.bytes, Code::kKey, key);
+  if (!key.empty()) protocol::AppendParameter(&payload.bytes, Code::kIdempotencyKey, key);
   protocol::AppendParameter(&payload.bytes, Code::kDescription, description);
   return payload;
 }
@@ -71,7 +72,7 @@
   request.task.tenant = settings.tenants.empty() ? 0 : tenant;
   if (request.task.tenant < 0) return std::nullopt;
   if (!ReadHex(message.Get(Code::kName), &request.task.name)) return std::nullopt;
-  if (!ReadResources(message.Get(Code::kFigures), &request)) return std::nullopt;
+  if (!ReadResources(message.Get(Code::kResources), &request)) return std::nullopt;
   if (!ReadClass(message, &request)) return std::nullopt;
   if (!ReadDeadline(message, now, &request)) return std::nullopt;
   request.task.is_retry = message.Has(Code::kRetry);
@@ -89,17 +90,17 @@
   if (name.empty()) return false;
   // The class of a running task may have been dropped by a change of the settings.
   const bool running = request->running_on.has_value();
-  request->task.class_index = running ? classes_.ForRunningTask(name) : classes_.Position(name);
+  request->task.class_index = running ? classes_.PositionForRunningTask(name) : classes_.FindPosition(name);
   if (request->task.class_index < 0) return false;
   const bool needs_key =
       !running && SettingsOf(*request).retry_safety == scheduling::RetrySafety::kIdempotencyKey;
-  return !needs_key || !message.Get(Code::kKey).empty();
+  return !needs_key || !message.Get(Code::kIdempotencyKey).empty();
 }
 
 bool RequestParser::ReadDeadline(const Message& message, Time now, TaskRequest* request) const {
   std::int64_t wait_ms = 0;
   if (!request->running_on) {  // a running task gets no answer, so that it needs no deadline
-    if (!scheduling::simulator::ReadInt(message.Get(Code::kWait), &wait_ms)) return false;
+    if (!scheduling::simulator::ReadInt(message.Get(Code::kTimeoutMs), &wait_ms)) return false;
     if (wait_ms <= 0 || wait_ms > kMaxWaitInDeadlines * SettingsOf(*request).deadline / kMs) return false;
   }
   request->task.deadline = now + wait_ms * kMs;
--- a/src/completion/completion_queue.cpp
+++ b/src/completion/completion_queue.cpp
@@ -143,7 +143,7 @@
       ++it;
     }
   }
-  if (completions_.empty()) Tighten(&completions_);
+  if (completions_.empty()) ShrinkIfSparse(&completions_);
   return pending_again;
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "config/config_error.h"
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "net/connection.h"
 #include "simulator/settings.h"
 
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-std::string Flatten(const json& settings) {
+std::string FlattenSettings(const json& settings) {
   std::string out;
   FlattenInto("", settings, &out);
   return out;
@@ -81,12 +81,12 @@
   Config c;
   c.name = config.value("name", "willowrail");
   c.listen = Address(config, "listen");
-  c.bulletin = Address(config, "bulletin");
+  c.discovery = Address(config, "bulletin");
   if (config.contains("admin_addr")) c.admin = Address(config, "admin_addr");
   c.seed = Seed(config.value("seed", json("0")));
-  c.known = config.value("known", json::object());
+  c.known_list = config.value("known", json::object());
   const json& settings = config.at("settings");
-  const std::string line = "begin" + Flatten(settings);
+  const std::string line = "begin" + FlattenSettings(settings);
   c.settings = scheduling::simulator::ReadSettings(scheduling::simulator::Fields(line, 1), 0);
   // Names as owners write them: the wire's line has no room for spaces and commas.
   for (std::size_t i = 0; i < c.settings.classes.size(); ++i) {
@@ -96,15 +96,15 @@
     c.settings.tenants[i].name = settings.at("Tenants").at(i).value("Name", "");
   }
   c.zones = settings.value("Zones", std::vector<std::string>());
-  c.kinds = settings.value("Kinds", std::vector<std::string>());
+  c.node_kinds = settings.value("Kinds", std::vector<std::string>());
   const json allowed = settings.value("Allowed", json::object());
   c.dial_timeout = allowed.value("DialTimeout", c.dial_timeout);
   c.keepalive = allowed.value("Keepalive", c.keepalive);
-  c.sockets = config.value("limits", json::object()).value("sockets", c.sockets);
+  c.max_descriptors = config.value("limits", json::object()).value("sockets", c.max_descriptors);
   return c;
 }
 
-Config ConfigFromEnvironment(const json* first) {
+Config LoadConfigFromEnvironment(const json* first) {
   const char* path = std::getenv("ROUTER_CONFIG");
   if (path == nullptr) throw ConfigError("ROUTER_CONFIG names no configuration file");
   std::ifstream file(path);
@@ -113,7 +113,8 @@
   json config = ParseConfig(text, path);
   if (first != nullptr) {
     std::string all;
-    for (const Complaint& complaint : CompareShape(*first, config)) all += "\n  " + Describe(complaint);
+    for (const ConfigIssue& complaint : FindIncompatibilities(*first, config))
+      all += "\n  " + FormatIssue(complaint);
     if (!all.empty()) throw ConfigError(std::string(path) + ":" + all);
   }
   json shape = config;
@@ -122,7 +123,7 @@
   if (const char* listen = std::getenv("ROUTER_LISTEN")) config["listen"] = listen;
   if (const char* admin = std::getenv("ROUTER_ADMIN_ADDR")) config["admin_addr"] = admin;
   Config c = ReadConfig(config);
-  c.shape = std::move(shape);
+  c.required_shape = std::move(shape);
   if (const char* inherited = std::getenv("ROUTER_LISTEN_FD")) c.listen_socket = Descriptor(inherited);
   return c;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -33,12 +33,12 @@
 Config ReadConfig(const nlohmann::json& json);
 // Also where the file lacks what `first`, the shape of the one accepted at the start, had. A file is taken
 // whole or not at all.
-Config ConfigFromEnvironment(const nlohmann::json* first = nullptr);
+Config LoadConfigFromEnvironment(const nlohmann::json* first = nullptr);
 
 // The level that ROUTER_LOG_LEVEL names, kInfo without the variable. Throws ConfigError where it names none.
 LogLevel LogLevelFromEnvironment();
 
 // The settings as the simulator's wire writes them: path=value, a tab before each.
-std::string Flatten(const nlohmann::json& settings);
+std::string FlattenSettings(const nlohmann::json& settings);
 
 }  // namespace cluster_manager
--- a/src/config/listing.cpp
+++ b/src/config/listing.cpp
@@ -1,11 +1,10 @@
-#include "config/listing.h"
-
 #include <netinet/in.h>
 
 #include <cmath>
 #include <limits>
 #include <string>
 
+#include "config/endpoint_list_validation.h"
 #include "net/connection.h"
 
 namespace cluster_manager {
@@ -47,7 +46,7 @@
          IsNumber(value[1], -kMostFigure, kMostFigure);
 }
 
-Complaint Wrong(const char* path, const json* value, const char* wanted) {
+ConfigIssue Wrong(const char* path, const json* value, const char* wanted) {
   return {path, value == nullptr ? "missing" : Said(*value), wanted};
 }
 
@@ -72,7 +71,7 @@
 
 }  // namespace
 
-std::optional<Complaint> CheckListEvent(const json& event) {
+std::optional<ConfigIssue> ValidateEndpointListEvent(const json& event) {
   if (!event.is_object()) return Wrong("event", &event, "write an object");
   const json* number = Find(event, "no");
   if (number == nullptr || !IsWhole(*number, 1, kMostNumber)) {
@@ -93,7 +92,7 @@
   return std::nullopt;
 }
 
-std::optional<Complaint> CheckListEntry(const json& entry) {
+std::optional<ConfigIssue> ValidateEndpointListEntry(const json& entry) {
   if (!entry.is_object()) return Wrong("entry", &entry, "write an object");
   const json* uid = Find(entry, "uid");
   if (uid == nullptr || !uid->is_string() || uid->get_ref<const std::string&>().empty()) {
--- a/src/config/shape.cpp
+++ b/src/config/shape.cpp
@@ -1,5 +1,3 @@
-#include "config/shape.h"
-
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -7,7 +5,8 @@
 #include <stdexcept>
 
 #include "config/config_error.h"
-#include "config/listing.h"
+#include "config/config_validation.h"
+#include "config/endpoint_list_validation.h"
 #include "net/connection.h"
 
 namespace cluster_manager {
@@ -33,7 +32,7 @@
 
 class Comparison {
  public:
-  std::vector<Complaint> Take() { return std::move(complaints_); }
+  std::vector<ConfigIssue> Take() { return std::move(complaints_); }
 
   void Complain(const std::string& path, const json* value, const std::string& wanted) {
     if (!paths_.insert(path).second) return;  // once for each place: the first rule says it best
@@ -166,15 +165,15 @@
   }
 
   void ListEvent(const std::string& path, const json& event) {
-    if (const auto wrong = CheckListEvent(event)) return Complain(path + ".", *wrong);
+    if (const auto wrong = ValidateEndpointListEvent(event)) return Complain(path + ".", *wrong);
     const json& targets = event["roster"]["targets"];
     for (std::size_t i = 0; i < targets.size(); ++i) {
-      const auto wrong = CheckListEntry(targets[i]);
+      const auto wrong = ValidateEndpointListEntry(targets[i]);
       if (wrong) Complain(path + ".roster.targets[" + std::to_string(i) + "].", *wrong);
     }
   }
 
-  void Complain(const std::string& prefix, const Complaint& complaint) {
+  void Complain(const std::string& prefix, const ConfigIssue& complaint) {
     if (!paths_.insert(prefix + complaint.path).second) return;
     complaints_.push_back({prefix + complaint.path, complaint.said, complaint.wanted});
   }
@@ -251,7 +250,7 @@
     }
   }
 
-  std::vector<Complaint> complaints_;
+  std::vector<ConfigIssue> complaints_;
   std::set<std::string> paths_;
 };
 
@@ -270,7 +269,7 @@
   return text;
 }
 
-bool IsTooDeep(std::string_view text) {
+bool ExceedsMaxDepth(std::string_view text) {
   constexpr int kMostDepth = 64;
   int depth = 0;
   bool in_string = false;
@@ -299,7 +298,7 @@
     throw ConfigError(file + ", line " + Line(text, nul) + ", byte " + std::to_string(nul + 1) +
                       ": a NUL, which no configuration holds");
   }
-  if (IsTooDeep(text)) {
+  if (ExceedsMaxDepth(text)) {
     throw ConfigError(file + ": lists and objects lie deeper in one another than 64; write fewer");
   }
   json config;
@@ -321,7 +320,7 @@
   return config;
 }
 
-std::vector<Complaint> CompareShape(const json& first, const json& fresh) {
+std::vector<ConfigIssue> FindIncompatibilities(const json& first, const json& fresh) {
   Comparison comparison;
   if (!fresh.is_object()) {
     comparison.Complain("configuration", &fresh, "write an object");
@@ -350,7 +349,7 @@
   return comparison.Take();
 }
 
-std::string Describe(const Complaint& complaint) {
+std::string Describe(const ConfigIssue& complaint) {
   return complaint.path + ": " + complaint.said + "; " + complaint.wanted;
 }
 
--- a/src/config/shape.h
+++ b/src/config/shape.h
@@ -9,7 +9,7 @@
 
 namespace cluster_manager {
 
-struct Complaint {
+struct ConfigIssue {
   std::string path;    // as settings.Services[2].Deadline
   std::string said;    // the value found, or "missing"
   std::string wanted;  // what is legal
@@ -21,16 +21,16 @@
 
 // What keeps a later file from being taken: whatever the first file had and this one lacks, a value of
 // another type, a deadline or a number of attempts that is no number above 0. Empty: it may be taken, whole.
-std::vector<Complaint> CompareShape(const nlohmann::json& first, const nlohmann::json& fresh);
+std::vector<ConfigIssue> FindIncompatibilities(const nlohmann::json& first, const nlohmann::json& fresh);
 
 // A value as a complaint shows it: one line, long ones cut.
 std::string Said(const nlohmann::json& value);
 
 // Whether lists and objects of a JSON text lie in one another deeper than any that this program reads. Guards
 // against texts whose values cannot be copied or written without running out of stack.
-bool IsTooDeep(std::string_view text);
+bool ExceedsMaxDepth(std::string_view text);
 
 // As settings.Services[2].Deadline: "soon"; write a number of nanoseconds above 0
-std::string Describe(const Complaint& complaint);
+std::string Describe(const ConfigIssue& complaint);
 
 }  // namespace cluster_manager
--- a/src/containers/handoff_queue.h
+++ b/src/containers/handoff_queue.h
@@ -5,7 +5,7 @@
 //   loop:    if (!queue.TryPush(write)) ...full: say so to whoever asked
 //            on the wake-up: while (auto result = queue.TakeResult()) ...
 //   worker:  while (auto write = queue.Pop()) queue.Give(Do(*write));
-//   stop:    queue.Stop(Ending::kDrain); worker.join(); take the results; then destroy the queue
+//   stop:    queue.Stop(StopMode::kDrain); worker.join(); take the results; then destroy the queue
 //
 // - One thread calls the loop's side, one the worker's. The loop never waits for work: it takes a lock
 //   held for a few moves of an item, never while the worker works.
@@ -77,7 +77,7 @@
       const std::lock_guard lock(mutex_);
       State& state = state_.Write();
       state.stopped = true;
-      if (ending == Ending::kDrop) {
+      if (ending == StopMode::kDrop) {
         dropped.swap(state.items);
         state.open -= dropped.size();
       }
--- a/src/containers/hash.h
+++ b/src/containers/hash.h
@@ -23,7 +23,7 @@
 };
 
 // A number in (0, 1) that everybody draws alike for a pair of numbers.
-inline double HashDraw(std::uint64_t a, std::uint64_t b) {
+inline double HashToUnitInterval(std::uint64_t a, std::uint64_t b) {
   std::uint64_t x = a * 0x9E3779B97F4A7C15U + b;
   for (int i = 0; i < 2; ++i) {
     x = (x ^ (x >> 31)) * 0xBF58476D1CE4E5B9U;
@@ -41,7 +41,7 @@
 
 // Gives back the memory of a table that was once much fuller. To be called now and then, not per request.
 template <typename Table>
-void Tighten(Table* table) {
+void ShrinkIfSparse(Table* table) {
   constexpr std::size_t kSmall = 64;
   constexpr std::size_t kSpare = 8;
   if (table->bucket_count() > kSmall && table->size() * kSpare < table->bucket_count()) table->rehash(0);
--- a/src/containers/log_buckets.cpp
+++ b/src/containers/log_buckets.cpp
@@ -13,7 +13,7 @@
     std::array<Time, LogBuckets::kBuckets> all{};
     for (int i = 0; i < LogBuckets::kBuckets; ++i) {
       all[static_cast<std::size_t>(i)] =
-          std::llround(static_cast<double>(LogBuckets::kLeast) * std::pow(LogBuckets::kGamma, i));
+          std::llround(static_cast<double>(LogBuckets::kSmallestBound) * std::pow(LogBuckets::kGamma, i));
     }
     return all;
   }();
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-int LogBuckets::Of(Time value) {
+int LogBuckets::IndexOf(Time value) {
   const auto& uppers = Uppers();
   return static_cast<int>(
       std::min<std::ptrdiff_t>(std::ranges::lower_bound(uppers, value) - uppers.begin(), kBuckets - 1));
 }
 
-Time LogBuckets::Upper(int bucket) { return Uppers()[static_cast<std::size_t>(bucket)]; }
+Time LogBuckets::UpperBound(int bucket) { return Uppers()[static_cast<std::size_t>(bucket)]; }
 
-Time LogBuckets::Middle(int bucket) {
+Time LogBuckets::Midpoint(int bucket) {
   return std::llround(static_cast<double>(Upper(bucket)) * (1 - kError));
 }
 
--- a/src/containers/tables.h
+++ b/src/containers/tables.h
@@ -16,7 +16,7 @@
 // Values in numbered slots, each under a number that its owner chose. A pointer is good until the next
 // Insert.
 template <typename Key, typename T>
-class NamedTable {
+class KeyedTable {
  public:
   T* Find(Key key) {
     const auto it = handles_.find(key);
@@ -40,7 +40,7 @@
     slots_.ForEach([&](Handle, T& value) { visit(value); });
   }
   std::size_t size() const { return slots_.size(); }
-  void Shrink() { Tighten(&handles_); }
+  void Shrink() { ShrinkIfSparse(&handles_); }
 
  private:
   SlotTable<T> slots_;
@@ -84,7 +84,7 @@
       by_key_.erase(m->key);
       return true;
     });
-    Tighten(&by_key_);
+    ShrinkIfSparse(&by_key_);
   }
   Member* at_slot(std::uint32_t slot) const { return by_slot_[slot]; }
   const std::vector<Member*>& ordered() const { return ordered_; }  // by key
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "config/listing.h"
+#include "config/endpoint_list_validation.h"
 
 namespace cluster_manager {
 namespace {
@@ -37,14 +37,14 @@
 // Values that the entry omits keep their last known value.
 ListedNode EndpointList::ParseEntry(const std::string& uid, const json& entry) const {
   ListedNode node;
-  node.entry.nominal = 1;
+  node.entry.nominal_capacity = 1;
   if (const auto known = nodes_.find(uid); known != nodes_.end()) node = known->second;
   node.entry.node = NodeIdFromUid(uid);
   node.entry.state = ParseState(entry.at("state").get<std::string>());
   if (entry.contains("az")) node.entry.zone = IndexOf(zones_, entry["az"].get<std::string>());
   if (entry.contains("model")) node.entry.kind = IndexOf(kinds_, entry["model"].get<std::string>());
   node.entry.rack = entry.value("pod_group", node.entry.rack);
-  node.entry.nominal = entry.value("capacity_hint", node.entry.nominal);
+  node.entry.nominal_capacity = entry.value("capacity_hint", node.entry.nominal_capacity);
   if (entry.contains("boot_ms")) node.entry.started_at = entry["boot_ms"].get<std::int64_t>() * kMs;
   if (entry.contains("unasked")) {
     node.entry.free_cores = entry["unasked"][0].get<double>();
@@ -56,7 +56,7 @@
 }
 
 EndpointList::ApplyResult EndpointList::Apply(const json& event, GapPolicy gap_policy, Change* change) {
-  if (std::optional<Complaint> problem = CheckListEvent(event)) {
+  if (std::optional<ConfigIssue> problem = ValidateEndpointListEvent(event)) {
     change->problems.push_back(std::move(*problem));
     return ApplyResult::kInvalid;
   }
@@ -76,7 +76,7 @@
   Uids applied, skipped;
   for (std::size_t i = 0; i < targets.size(); ++i) {
     const std::string uid = UidOf(targets[i]);
-    if (const std::optional<Complaint> problem = CheckListEntry(targets[i])) {
+    if (const std::optional<ConfigIssue> problem = ValidateEndpointListEntry(targets[i])) {
       const std::string path = "roster.targets[" + std::to_string(i) + "]." + problem->path;
       change->problems.push_back({path, problem->said, problem->wanted});
       skipped.insert(uid);
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "dispatch/ports.h"
 
 namespace cluster_manager {
@@ -24,10 +24,10 @@
 
   // The effect of one event.
   struct Change {
-    bool full = false;                // the event holds the whole list
-    std::int64_t version = 0;         // of the list, as discovery numbers it
-    std::vector<ListedNode> nodes;    // for a full list also the nodes that it no longer names, as removed
-    std::vector<Complaint> problems;  // the entries that were skipped, or why the event was not applied
+    bool full = false;                  // the event holds the whole list
+    std::int64_t version = 0;           // of the list, as discovery numbers it
+    std::vector<ListedNode> nodes;      // for a full list also the nodes that it no longer names, as removed
+    std::vector<ConfigIssue> problems;  // the entries that were skipped, or why the event was not applied
   };
   enum class ApplyResult {
     kApplied,
--- a/src/discovery/endpoint_list_watcher.cpp
+++ b/src/discovery/endpoint_list_watcher.cpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <utility>
 
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "net/counters.h"
 #include "net/log.h"
 
@@ -36,7 +36,7 @@
 
 // Nothing where the text is not JSON or is nested too deeply.
 std::optional<json> Parse(const std::string& text) {
-  if (IsTooDeep(text)) return std::nullopt;
+  if (ExceedsMaxDepth(text)) return std::nullopt;
   json event = json::parse(text, nullptr, false);
   return event.is_discarded() ? std::nullopt : std::optional<json>(std::move(event));
 }
@@ -45,10 +45,10 @@
 
 EndpointListWatcher::EndpointListWatcher(EventLoop* loop, const Config& config, DiscoveryEvents* events)
     : loop_(loop),
-      address_(config.bulletin),
-      host_(AddressText(config.bulletin)),
+      address_(config.discovery),
+      host_(AddressText(config.discovery)),
       events_(events),
-      endpoint_list_(config.zones, config.kinds),
+      endpoint_list_(config.zones, config.node_kinds),
       always_subscribed_(!config.settings.discovery_by_subscription) {
   http_parser_settings_init(&callbacks_);
   callbacks_.on_headers_complete = [](http_parser* p) {
--- a/src/dispatch/actions.cpp
+++ b/src/dispatch/actions.cpp
@@ -160,7 +160,7 @@
 
 void Dispatcher::EraseRequest(Handle handle, Request* request) {
   loop_->Cancel(request->timer);
-  classes_.Done(request->task.class_index);
+  classes_.RemoveTask(request->task.class_index);
   handle_by_task_.erase(request->id);
   requests_.Erase(handle);
 }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -40,12 +40,12 @@
 }
 
 ClassTable::Change Dispatcher::ApplySettings(const scheduling::Settings& settings) {
-  ClassTable::Change change = classes_.Apply(settings);
+  ClassTable::Change change = classes_.ApplySettings(settings);
   kind_cores_ = settings.kind_cores;
   kind_memory_ = settings.kind_memory;
   RefreshClassCounters();
   HandleEvent(scheduling::SettingsChanged{std::make_shared<const scheduling::Settings>(change.settings),
-                                          change.learns_from});
+                                          change.estimate_sources});
   return change;
 }
 
@@ -151,7 +151,7 @@
     request.attempts = 1;
     request.node = *incoming->running_on;
   }
-  classes_.Use(incoming->task.class_index);
+  classes_.AddTask(incoming->task.class_index);
   const Handle handle = requests_.Insert(std::move(request));
   handle_by_task_[incoming->id] = handle;
   return handle;
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -28,7 +28,7 @@
 #include "node_suspension/node_suspensions.h"
 #include "request_classes/class_table.h"
 #include "scheduling/scheduler.h"
-#include "zone_failover/sites.h"
+#include "zone_failover/zone_failover.h"
 
 namespace cluster_manager {
 
--- a/src/estimates/estimates.cpp
+++ b/src/estimates/estimates.cpp
@@ -11,8 +11,8 @@
 constexpr double kRatioOne = 100e9;
 
 double Word(const Task& task) {
-  return static_cast<double>(
-      std::clamp(task.expected_duration, LogBuckets::kLeast, LogBuckets::Upper(LogBuckets::kBuckets - 1)));
+  return static_cast<double>(std::clamp(task.expected_duration, LogBuckets::kSmallestBound,
+                                        LogBuckets::UpperBound(LogBuckets::kBuckets - 1)));
 }
 
 Time OnTrack(const Task& task, bool word, Time ran) {
@@ -92,13 +92,13 @@
   Standing standing{.task = task, .since = std::min(since, now), .turn = ++turn_};
   for (const Track track : {kRun, kWord}) {
     if (track == kWord && task.expected_duration <= 0) continue;
-    const int bucket = Shown(LogBuckets::Of(OnTrack(task, track == kWord, now - standing.since)));
+    const int bucket = Shown(LogBuckets::IndexOf(OnTrack(task, track == kWord, now - standing.since)));
     for (int level = 0; level < Key::kLevels; ++level) {
       Own* own = Touch(KeyOf(task, static_cast<Key::Level>(level), track == kWord), now);
       standing.counted[track][static_cast<std::size_t>(level)] = own;
       if (own == nullptr) continue;
       ++own->stand;
-      if (!own->counts.Add(bucket, BucketCounts::kStanding)) ++bounds_.weights_cut;
+      if (!own->counts.Add(bucket, BucketCounts::kRunning)) ++bounds_.weights_cut;
     }
     standing.bucket[track] = bucket;
     Show(task.id, &standing, track, bucket, now);
@@ -111,13 +111,13 @@
     if (own == nullptr) continue;
     own->version = ++version_;
     if (bucket == standing->bucket[track]) continue;
-    own->counts.Remove(standing->bucket[track], BucketCounts::kStanding);
-    if (!own->counts.Add(bucket, BucketCounts::kStanding)) ++bounds_.weights_cut;
+    own->counts.Remove(standing->bucket[track], BucketCounts::kRunning);
+    if (!own->counts.Add(bucket, BucketCounts::kRunning)) ++bounds_.weights_cut;
   }
   standing->bucket[track] = bucket;
   const int next = std::max(bucket + kStep, kFirst);
   if (next >= LogBuckets::kBuckets) return;  // it stays in the last one
-  auto age = static_cast<double>(LogBuckets::Upper(next - 1));
+  auto age = static_cast<double>(LogBuckets::UpperBound(next - 1));
   if (track == kWord) age *= Word(standing->task) / kRatioOne;
   const Time at = standing->since + static_cast<Time>(std::min(age, 4e18)) + 1;
   steps_.push({std::max(at, now + 1), id, standing->turn, track});
@@ -130,7 +130,7 @@
     const auto it = standing_.find(step.id);
     if (it == standing_.end() || it->second.turn != step.turn) continue;  // it is over
     Standing& standing = it.value();
-    const int bucket = LogBuckets::Of(OnTrack(standing.task, step.track == kWord, now - standing.since));
+    const int bucket = LogBuckets::IndexOf(OnTrack(standing.task, step.track == kWord, now - standing.since));
     Show(step.id, &standing, step.track, std::max(Shown(bucket), standing.bucket[step.track]), now);
   }
 }
@@ -145,7 +145,7 @@
     for (Own* own : standing.counted[track]) {
       if (own == nullptr) continue;
       --own->stand;
-      own->counts.Remove(standing.bucket[track], BucketCounts::kStanding);
+      own->counts.Remove(standing.bucket[track], BucketCounts::kRunning);
       own->version = ++version_;
     }
   }
@@ -160,10 +160,10 @@
 void Estimates::Count(const Task& task, Time ran, End how, Time now) {
   if (LogBuckets::IsOutside(ran)) ++bounds_.values_clamped;
   ran = std::max<Time>(ran, 0);
-  const BucketCounts::Kind kind = how == End::kDone ? BucketCounts::kExits : BucketCounts::kCensored;
+  const BucketCounts::Kind kind = how == End::kDone ? BucketCounts::kCompleted : BucketCounts::kCensored;
   for (const bool word : {false, true}) {
     if (word && task.expected_duration <= 0) continue;
-    const int bucket = LogBuckets::Of(OnTrack(task, word, ran));
+    const int bucket = LogBuckets::IndexOf(OnTrack(task, word, ran));
     for (int level = 0; level < Key::kLevels; ++level) {
       Own* own = Touch(KeyOf(task, static_cast<Key::Level>(level), word), now);
       if (own == nullptr) continue;
--- a/src/estimates/estimates.h
+++ b/src/estimates/estimates.h
@@ -110,7 +110,7 @@
   void Note(const Task& task, Time ran, End how, Time now);  // of a task that was not followed
 
   // --- What is asked; of the task its class, tenant, service, cores and word are read ---
-  // By when the share `quantile` of such tasks is over. Off by at most LogBuckets::kError of what the
+  // By when the share `quantile` of such tasks is over. Off by at most LogBuckets::kRelativeError of what the
   // weighted observations say.
   Time Quantile(const Task& task, double quantile, Time now);
   // Of those that have run for `ran_for`: what they still run.
--- a/src/estimates/read.cpp
+++ b/src/estimates/read.cpp
@@ -19,13 +19,13 @@
   std::vector<std::uint64_t> said;  // weight by member, in order of their numbers
   std::uint64_t all = 0;
   const auto weigh = [](const Part& part, const BucketCounts::Entry& entry, int kind) -> std::uint64_t {
-    if (kind != BucketCounts::kStanding) return entry.weight[static_cast<std::size_t>(kind)] >> part.faded;
-    return part.stands ? entry.weight[BucketCounts::kStanding] >> (part.fades_too ? part.faded : 0) : 0;
+    if (kind != BucketCounts::kRunning) return entry.weight[static_cast<std::size_t>(kind)] >> part.faded;
+    return part.stands ? entry.weight[BucketCounts::kRunning] >> (part.fades_too ? part.faded : 0) : 0;
   };
   const auto take = [&](const Part& part) {
     std::uint64_t weight = 0;
     for (const BucketCounts::Entry& entry : part.counts->entries()) {
-      for (int kind = 0; kind < BucketCounts::kKinds; ++kind) weight += weigh(part, entry, kind);
+      for (int kind = 0; kind < BucketCounts::kKindCount; ++kind) weight += weigh(part, entry, kind);
     }
     all += weight;
     if (part.member >= 0) said[static_cast<std::size_t>(part.member)] += weight;
@@ -55,7 +55,7 @@
   Tally tally;
   constexpr std::uint64_t kWhole = 1u << 20;
   std::vector<std::uint64_t> shares(said.size(), kWhole);
-  const auto alone = static_cast<std::uint64_t>(terms_.alone * BucketCounts::kOne);
+  const auto alone = static_cast<std::uint64_t>(terms_.alone * BucketCounts::kUnitWeight);
   for (std::size_t i = 0; i < said.size(); ++i) {
     const std::uint64_t most = std::max(alone, (all - said[i]) / 2);
     if (said[i] <= most) continue;
@@ -65,10 +65,10 @@
   for (const Part& part : parts) {
     const std::uint64_t share = part.member < 0 ? kWhole : shares[static_cast<std::size_t>(part.member)];
     for (const BucketCounts::Entry& entry : part.counts->entries()) {
-      for (int kind = 0; kind < BucketCounts::kKinds; ++kind) {
+      for (int kind = 0; kind < BucketCounts::kKindCount; ++kind) {
         const double weight = static_cast<double>(weigh(part, entry, kind) * share) /
-                              static_cast<double>(kWhole * BucketCounts::kOne);
-        (kind == BucketCounts::kExits ? tally.exits : tally.cut)[entry.bucket] += weight;
+                              static_cast<double>(kWhole * BucketCounts::kUnitWeight);
+        (kind == BucketCounts::kCompleted ? tally.exits : tally.cut)[entry.bucket] += weight;
         tally.total += weight;
       }
     }
@@ -100,17 +100,17 @@
 
 Time Estimates::Quantile(const Task& task, double quantile, Time now) {
   const Mixed mixed = Read(task, now);
-  if (mixed.share <= 0) return LogBuckets::Middle(mixed.run->BucketOf(quantile));
+  if (mixed.share <= 0) return LogBuckets::Midpoint(mixed.run->BucketOf(quantile));
   int low = 0, high = LogBuckets::kBuckets - 1;
   while (low < high) {
     const int mid = (low + high) / 2;
-    if (mixed.After(static_cast<double>(LogBuckets::Upper(mid))) <= 1 - quantile + 1e-12) {
+    if (mixed.After(static_cast<double>(LogBuckets::UpperBound(mid))) <= 1 - quantile + 1e-12) {
       high = mid;
     } else {
       low = mid + 1;
     }
   }
-  return LogBuckets::Middle(low);
+  return LogBuckets::Midpoint(low);
 }
 
 double Estimates::RemainingSeconds(const Task& task, Time ran_for, double quantile, Time now) {
@@ -120,17 +120,17 @@
   // Past all that the scale holds: as long again.
   if (alive <= 0) return age * 1e-9;
   const double mark = alive * (1 - quantile);
-  int low = LogBuckets::Of(ran_for), high = LogBuckets::kBuckets - 1;
+  int low = LogBuckets::IndexOf(ran_for), high = LogBuckets::kBuckets - 1;
   while (low < high) {
     const int mid = (low + high) / 2;
-    if (mixed.After(static_cast<double>(LogBuckets::Upper(mid))) <= mark) {
+    if (mixed.After(static_cast<double>(LogBuckets::UpperBound(mid))) <= mark) {
       high = mid;
     } else {
       low = mid + 1;
     }
   }
-  const double from = std::max(age, static_cast<double>(LogBuckets::Lower(low)));
-  const double to = static_cast<double>(LogBuckets::Upper(low));
+  const double from = std::max(age, static_cast<double>(LogBuckets::LowerBound(low)));
+  const double to = static_cast<double>(LogBuckets::UpperBound(low));
   const double above = mixed.After(from), below = mixed.After(to);
   const double part = above > below ? std::clamp((above - mark) / (above - below), 0.0, 1.0) : 1.0;
   return std::max(0.0, from + part * (to - from) - age) * 1e-9;
--- a/src/estimates/share.cpp
+++ b/src/estimates/share.cpp
@@ -47,7 +47,7 @@
       continue;
     }
     Cell taken{.version = cell.version, .epoch = std::max<std::int64_t>(cell.epoch, 0), .counts = {}};
-    bounds_.weights_cut += static_cast<std::uint64_t>(taken.counts.Take(cell.counts));
+    bounds_.weights_cut += static_cast<std::uint64_t>(taken.counts.Assign(cell.counts));
     const auto known = of.cells.find(cell.key);
     if (known != of.cells.end()) {
       // Two words of one version that differ are a fault of their member; everybody keeps the same one.
--- a/src/estimates/survival.cpp
+++ b/src/estimates/survival.cpp
@@ -7,9 +7,9 @@
 
 double Curve::LongerThan(double span) const {
   if (span <= 0) return 1;
-  const int bucket = LogBuckets::Of(static_cast<Time>(std::min(span, 9e18)));
-  const auto lower = static_cast<double>(LogBuckets::Lower(bucket));
-  const auto upper = static_cast<double>(LogBuckets::Upper(bucket));
+  const int bucket = LogBuckets::IndexOf(static_cast<Time>(std::min(span, 9e18)));
+  const auto lower = static_cast<double>(LogBuckets::LowerBound(bucket));
+  const auto upper = static_cast<double>(LogBuckets::UpperBound(bucket));
   const double part = std::clamp((span - lower) / (upper - lower), 0.0, 1.0);
   return After(bucket - 1) + part * (After(bucket) - After(bucket - 1));
 }
@@ -22,7 +22,7 @@
 
 Curve FlatCurve(Time from, Time to) {
   constexpr double kTail = 0.01;
-  const int first = LogBuckets::Of(from), last = LogBuckets::Of(to);
+  const int first = LogBuckets::IndexOf(from), last = LogBuckets::IndexOf(to);
   Curve curve;
   for (int i = 0; i < LogBuckets::kBuckets; ++i) {
     double left = 0;
--- a/src/json_files/document_checker.cpp
+++ b/src/json_files/document_checker.cpp
@@ -9,11 +9,11 @@
 
 using nlohmann::json;
 
-std::string Below(const std::string& place, const std::string& name) {
+std::string JoinPath(const std::string& place, const std::string& name) {
   return place.empty() ? name : place + "." + name;
 }
 
-std::string Listed(const std::vector<std::string>& all) {
+std::string JoinList(const std::vector<std::string>& all) {
   std::string text;
   for (const std::string& each : all) {
     if (!text.empty()) text += ", ";
@@ -22,7 +22,7 @@
   return text;
 }
 
-std::string Plain(double number) {
+std::string FormatNumber(double number) {
   return json(number == std::floor(number) ? json(static_cast<std::int64_t>(number)) : json(number)).dump();
 }
 
@@ -40,7 +40,7 @@
   }
   for (const auto& [key, unused] : value.items()) {
     if (std::ranges::find(members, key) == members.end())
-      AddError(Below(place, key), "is not known here, write one of: " + Listed(members));
+      AddError(JoinPath(place, key), "is not known here, write one of: " + JoinList(members));
   }
   return true;
 }
@@ -48,11 +48,12 @@
 bool DocumentChecker::Number(const json& value, const std::string& place, double least, double most) {
   const bool legal = value.is_number() && value.get<double>() >= least && value.get<double>() <= most;
   if (!legal)
-    AddError(place, "is " + Shown(value) + ", write a number from " + Plain(least) + " to " + Plain(most));
+    AddError(place, "is " + FormatValue(value) + ", write a number from " + FormatNumber(least) + " to " +
+                        FormatNumber(most));
   return legal;
 }
 
-std::string DocumentChecker::Shown(const json& value) const {
+std::string DocumentChecker::FormatValue(const json& value) const {
   const std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
   return text.size() > most_shown_ ? text.substr(0, most_shown_ - 3) + "..." : text;
 }
--- a/src/json_files/document_checker.h
+++ b/src/json_files/document_checker.h
@@ -11,11 +11,11 @@
 namespace cluster_manager::json_files {
 
 // The place of a member within `place`; the document itself is "".
-std::string Below(const std::string& place, const std::string& name);
+std::string JoinPath(const std::string& place, const std::string& name);
 // "a, b, c".
-std::string Listed(const std::vector<std::string>& all);
+std::string JoinList(const std::vector<std::string>& all);
 // Whole numbers without a point.
-std::string Plain(double number);
+std::string FormatNumber(double number);
 
 class DocumentChecker {
  public:
@@ -32,7 +32,7 @@
   // False, and a mistake, where the value is no number from `least` to `most`.
   bool Number(const nlohmann::json& value, const std::string& place, double least, double most);
   // The value as a message shows it.
-  std::string Shown(const nlohmann::json& value) const;
+  std::string FormatValue(const nlohmann::json& value) const;
 
   bool good() const { return count_ == 0; }
   // Throws DocumentError with a line for each mistake where there is any.
--- a/src/nodes/attempt_sending.cpp
+++ b/src/nodes/attempt_sending.cpp
@@ -96,7 +96,7 @@
     case AttemptPermission::kDenied:
       ++counters.attempts_not_sent;
       return;
-    case AttemptPermission::kAskAgain:
+    case AttemptPermission::kRetryLater:
       Defer(node_connection->node, queued);
       return;
     case AttemptPermission::kGranted:
@@ -113,9 +113,9 @@
   Connection* connection = node_connection->transport.get();
   const auto& [bytes, class_end] = queued.payload;
   const Time remaining_ms = std::max<Time>(1, (queued.until - loop_->Now()) / kMs);
-  Writer message(connection->write_queue(), Type::kSetUp, queued.id);
+  Writer message(connection->write_queue(), Type::kTaskRequest, queued.id);
   connection->AppendBlock(bytes, 0, class_end);
-  message.Foreign(bytes.size()).Add(Code::kWait, remaining_ms);
+  message.AddExternalBytes(bytes.size()).Add(Code::kTimeoutMs, remaining_ms);
   connection->AppendBlock(bytes, class_end, bytes.size());
 }
 
--- a/src/nodes/connection_lifecycle.cpp
+++ b/src/nodes/connection_lifecycle.cpp
@@ -166,13 +166,13 @@
   failure_detection::FailureDetector& detector = record->failure_detector;
   bool dead = refused && (detector.RecordRefusedDial(dialed_at) || record->running_tasks.empty());
   const bool is_watched = std::ranges::find(leaving_nodes_, node) != leaving_nodes_.end();
-  if (detector.leaving() && !is_watched) leaving_nodes_.push_back(node);
+  if (detector.is_leaving() && !is_watched) leaving_nodes_.push_back(node);
   for (const Handle each : record->connections) {
     NodeConnection* other = connections_.Get(each);
     if (other->IsDialing()) continue;
     const bool was_suspect = other->IsSuspect();
     const bool heard_since = other->last_heard >= dialed_at;
-    if (refused && detector.leaving() && !heard_since && !was_suspect) {
+    if (refused && detector.is_leaving() && !heard_since && !was_suspect) {
       // A leaving node may have stopped listening while it lives: its established connections tell.
       dead = false;
       if (other->transport->up()) CheckProcessLiveness(node, record, other);
--- a/src/nodes/health_checks.cpp
+++ b/src/nodes/health_checks.cpp
@@ -56,7 +56,8 @@
 void NodeConnectionPool::SendHealthCheck(HealthCheck* health_check, NodeConnection* node_connection) {
   ++counters.health_checks_sent;
   health_check->connection = node_connection->transport->tag;
-  Writer(node_connection->transport->write_queue(), Type::kTest, health_check->id).Add(Cause::kTestPassed);
+  Writer(node_connection->transport->write_queue(), Type::kHealthCheck, health_check->id)
+      .Add(Cause::kHealthCheckPassed);
 }
 
 void NodeConnectionPool::FinishHealthCheck(NodeId node, TaskId id, Outcome outcome, LoadReport report) {
@@ -100,7 +101,7 @@
   std::vector<NodeId> stopped;
   std::erase_if(leaving_nodes_, [&](NodeId node) {
     const auto it = nodes_.find(node);
-    if (it == nodes_.end() || !it->second.failure_detector.leaving()) return true;
+    if (it == nodes_.end() || !it->second.failure_detector.is_leaving()) return true;
     const NodeRecord& record = it->second;
     if (record.running_tasks.empty()) return false;
     if (record.failure_detector.IsPresumedStopped(now)) {
--- a/src/nodes/message_handling.cpp
+++ b/src/nodes/message_handling.cpp
@@ -84,11 +84,11 @@
 
 bool NodeConnectionPool::HandleMessage(NodeId node, Connection& connection, const Message& message) {
   NodeRecord& record = nodes_[node];
-  if (message.type == Type::kAnswer && message.Get(Code::kDescription).empty()) return false;
+  if (message.type == Type::kTaskAccepted && message.Get(Code::kDescription).empty()) return false;
   if (message.type == Type::kRelease && message.CauseOr(-1) < 0) return false;
   std::optional<AttemptId> attempt;
   switch (message.type) {
-    case Type::kAnswer:
+    case Type::kTaskAccepted:
       if (!MatchSentAttempt(&record, connection.tag, message, &attempt)) return true;
       // Where no attempt is unanswered the id is 0, which is no attempt's.
       HandleAnswer(node, attempt.value_or(0), message);
@@ -96,15 +96,15 @@
     case Type::kRelease:
       if (MatchSentAttempt(&record, connection.tag, message, &attempt)) HandleRelease(node, attempt, message);
       return true;
-    case Type::kNote:
+    case Type::kTaskReport:
       HandleTaskReport(node, message);
       return true;
-    case Type::kTestResult:
+    case Type::kHealthCheckResult:
       HandleHealthCheckResult(node, message);
       return true;
     case Type::kProgress:
-    case Type::kReleaseHeard:
-    case Type::kTest:
+    case Type::kReleaseConfirmed:
+    case Type::kHealthCheck:
       return true;  // allowed, and without effect here
     default:
       return false;
@@ -157,7 +157,7 @@
   const auto health_check = std::ranges::find(record.health_checks, message.task, &HealthCheck::id);
   if (health_check == record.health_checks.end()) return;
   ++counters.health_check_replies;
-  const bool passed = message.CauseOr(0) == static_cast<int>(Cause::kTestPassed);
+  const bool passed = message.CauseOr(0) == static_cast<int>(Cause::kHealthCheckPassed);
   FinishHealthCheck(node, message.task, passed ? Outcome::kOk : Outcome::kError, DecodeLoadReport(message));
 }
 
--- a/src/nodes/node_connection_pool.cpp
+++ b/src/nodes/node_connection_pool.cpp
@@ -54,9 +54,9 @@
   }
   // A removed node is not dialed any more: another node may be listening at its address.
   record.removed = node.entry.state == NodeState::kRemoved;
-  const bool was_leaving = record.failure_detector.leaving();
+  const bool was_leaving = record.failure_detector.is_leaving();
   record.failure_detector.SetListedState(ListedStateOf(node.entry.state), loop_->Now());
-  if (record.failure_detector.leaving() && !was_leaving) leaving_nodes_.push_back(id);
+  if (record.failure_detector.is_leaving() && !was_leaving) leaving_nodes_.push_back(id);
   if (record.removed) record.orphaned_tasks.clear();
   RecordAddress(id, before);
   EnsureConnection(id, &record);
@@ -77,8 +77,8 @@
 void NodeConnectionPool::ForgetRemovedNodes() {
   for (auto it = nodes_.begin(); it != nodes_.end();) {
     NodeRecord& record = it->second;
-    Tighten(&record.sent_attempts);
-    Tighten(&record.running_tasks);
+    ShrinkIfSparse(&record.sent_attempts);
+    ShrinkIfSparse(&record.running_tasks);
     if (!IsForgettable(record)) {
       ++it;
       continue;
--- a/src/nodes/node_connection_pool.h
+++ b/src/nodes/node_connection_pool.h
@@ -79,7 +79,7 @@
     ForwardedPayload payload;
     Time until;  // its deadline at the node
   };
-  struct DeferredAttempt {  // CheckAttemptAllowed answered kAskAgain: the client's connection is read first
+  struct DeferredAttempt {  // CheckAttemptAllowed answered kRetryLater: the client's connection is read first
     NodeId node;
     QueuedAttempt queued;
   };
--- a/src/nodes/reply_decoder.cpp
+++ b/src/nodes/reply_decoder.cpp
@@ -21,11 +21,11 @@
   switch (static_cast<Cause>(cause)) {
     case Cause::kEnded:
       return Outcome::kOk;
-    case Cause::kFull:
+    case Cause::kNoCapacity:
       return Outcome::kRefused;
     case Cause::kError:
       return Outcome::kError;
-    case Cause::kMoot:
+    case Cause::kNotStarted:
       return Outcome::kNotSent;
     default:
       return Outcome::kAborted;
@@ -58,14 +58,14 @@
 }  // namespace
 
 NodeReply DecodeReply(const Message& release) {
-  const int cause = release.CauseOr(static_cast<int>(Cause::kReset));
-  return {OutcomeBeforeAnswer(cause), OutcomeAfterAnswer(cause), ParseEndReason(release.Get(Code::kNote)),
+  const int cause = release.CauseOr(static_cast<int>(Cause::kAborted));
+  return {OutcomeBeforeAnswer(cause), OutcomeAfterAnswer(cause), ParseEndReason(release.Get(Code::kDetail)),
           DecodeLoadReport(release)};
 }
 
 // The text has the form "x0:12;x1:40;queue:3".
 LoadReport DecodeLoadReport(const Message& message) {
-  std::string_view text = message.Get(Code::kReport);
+  std::string_view text = message.Get(Code::kLoadReport);
   LoadReport report;
   while (!text.empty()) {
     const std::string_view pair = text.substr(0, text.find(';'));
@@ -74,7 +74,7 @@
     if (colon == std::string_view::npos) continue;
     double value = 0;
     if (scheduling::simulator::ReadNumber(pair.substr(colon + 1), &value)) {
-      scheduling::simulator::TellField(&report, pair.substr(0, colon), value);
+      scheduling::simulator::SetReportField(&report, pair.substr(0, colon), value);
     }
   }
   return report;
@@ -88,7 +88,7 @@
       {"share", TaskReportKind::kServiceLevel},
       {"tight", TaskReportKind::kNodeMemoryPressure}};
   for (const auto& [name, kind] : kReportKinds) {
-    if (name == note.Get(Code::kNote)) return kind;
+    if (name == note.Get(Code::kDetail)) return kind;
   }
   return std::nullopt;
 }
--- a/src/request_classes/class_table.cpp
+++ b/src/request_classes/class_table.cpp
@@ -90,8 +90,8 @@
 
 ClassTable::Change ClassTable::Apply(const Settings& fresh) {
   Change change;
-  change.learns_from.resize(entries_.size());
-  std::iota(change.learns_from.begin(), change.learns_from.end(), 0);
+  change.estimate_sources.resize(entries_.size());
+  std::iota(change.estimate_sources.begin(), change.estimate_sources.end(), 0);
   const Positions before = std::exchange(positions_, {});
   for (const auto& [name, position] : before) At(position).in_force = false;
   ReplaceSettings(fresh);
@@ -145,9 +145,9 @@
   for (const ClassSettings* each : remaining) {
     int position = FindFree();
     if (position < 0) position = AddEntry();
-    change->learns_from.resize(entries_.size(), -1);
+    change->estimate_sources.resize(entries_.size(), -1);
     Enter(position, *each);
-    change->learns_from[static_cast<std::size_t>(position)] = Find(before, each->name);
+    change->estimate_sources[static_cast<std::size_t>(position)] = Find(before, each->name);
   }
 }
 
--- a/src/request_classes/class_table.h
+++ b/src/request_classes/class_table.h
@@ -39,7 +39,7 @@
     scheduling::Settings settings;  // the new ones, with the classes by position
     // For each position, the one whose statistics it starts from, as they were before the change: itself
     // where it goes on, -1 where a class has no predecessor.
-    std::vector<int> learns_from;
+    std::vector<int> estimate_sources;
     int added = 0;    // classes
     int dropped = 0;  // classes
     int changed = 0;  // classes
--- a/src/scheduling/contention_estimator.cpp
+++ b/src/scheduling/contention_estimator.cpp
@@ -3,8 +3,8 @@
 namespace scheduling::internal {
 
 void ContentionEstimator::Start() {
-  arrivals_.Begin(context_.now);
-  ends_.Begin(context_.now);
+  arrivals_.StartAt(context_.now);
+  ends_.StartAt(context_.now);
 }
 
 double ContentionEstimator::UnseenPlacements() const {
--- a/src/scheduling/contention_estimator.h
+++ b/src/scheduling/contention_estimator.h
@@ -15,8 +15,8 @@
   explicit ContentionEstimator(const Context& context) : context_(context) {}
 
   void Start();  // at the first event
-  void RecordArrival() { arrivals_.Note(context_.now); }
-  void RecordEnd() { ends_.Note(context_.now); }
+  void RecordArrival() { arrivals_.Record(context_.now); }
+  void RecordEnd() { ends_.Record(context_.now); }
   // Placements of others that the view does not show.
   double UnseenPlacements() const;
   // Requests that wait at others where `pending` wait here.
--- a/src/scheduling/endpoint_list_watch.cpp
+++ b/src/scheduling/endpoint_list_watch.cpp
@@ -8,7 +8,7 @@
 namespace scheduling::internal {
 
 Time EndpointListWatch::Patience() const {
-  const Time limit = context_.settings.subscribe_within;
+  const Time limit = context_.settings.subscription_timeout;
   return limit > 0 ? std::min(kMaxListSilence, limit / 2) : kMaxListSilence;
 }
 
--- a/src/scheduling/node_partition.cpp
+++ b/src/scheduling/node_partition.cpp
@@ -19,7 +19,7 @@
   const int parts = partitioned ? (settings.scheduler_count + zone_count - 1) / zone_count : 0;
   const int min_parts = packing_.IsPriced() ? 1 : 2;
   for (Node* node : view_.nodes()) {
-    const int part = static_cast<int>(cluster_manager::HashDraw(0, node->entry.node) * parts);
+    const int part = static_cast<int>(cluster_manager::HashToUnitInterval(0, node->entry.node) * parts);
     node->in_partition = parts >= min_parts && node->entry.zone == settings.zone &&
                          part == settings.scheduler_index / zone_count % parts;
     if (node->in_partition) nodes_.push_back(node);
--- a/src/scheduling/node_selector.cpp
+++ b/src/scheduling/node_selector.cpp
@@ -70,7 +70,7 @@
 void NodeSelector::SearchKinds(IndexSearch* search) {
   const Task& task = search->request.task;
   const Resources use = in_.usage.ExpectedUse(task);
-  const PlacementIndex::RatioIndex::Rooms need{task.cores, task.memory, use.cores, use.memory};
+  const PlacementIndex::RatioIndex::Capacities need{task.cores, task.memory, use.cores, use.memory};
   const double added = kProgramStartTasks * context_.settings.mean_cores;
   const int required = context_.ClassOf(task).required_node_kind;
   const auto visit = [&](std::uint32_t slot) {
@@ -80,9 +80,9 @@
   std::vector<PlacementIndex::RatioIndex>& kinds = in_.index.kinds();
   for (std::size_t kind = 0; kind < kinds.size(); ++kind) {
     if (required >= 0 && required != static_cast<int>(kind)) continue;
-    if (kinds[kind].Least(added, need, visit) || !candidates_.empty()) continue;
+    if (kinds[kind].VisitLeast(added, need, visit) || !candidates_.empty()) continue;
     not_preferred_.clear();  // they are met again
-    kinds[kind].Ascend(added, need, visit);
+    kinds[kind].VisitAscending(added, need, visit);
   }
 }
 
@@ -174,7 +174,7 @@
   double least = kNoLimit;
   for (const Candidate& each : candidates_) {
     const double share = std::max(kMinShare, level * each.weight - each.load);
-    const double drawn = -std::log(cluster_manager::HashDraw(service, each.node)) / share;
+    const double drawn = -std::log(cluster_manager::HashToUnitInterval(service, each.node)) / share;
     if (each.load > level * each.weight || drawn >= least || each.has_program != has_program) continue;
     least = drawn;
     best = each.node;
--- a/src/scheduling/placement_index.cpp
+++ b/src/scheduling/placement_index.cpp
@@ -18,7 +18,7 @@
   const Settings& settings = context_.settings;
   const bool many = settings.shows_free_capacity && view_.nodes().size() > kIndexedFrom;
   if (many == std::exchange(active_, many) && !rebuild) return;
-  for (const RatioIndex& index : kinds_) examined_in_dropped_ += index.looked();
+  for (const RatioIndex& index : kinds_) examined_in_dropped_ += index.examined();
   kinds_.assign(many ? settings.kind_cores.size() : 0, {});
   view_.TrackChanges(many);
   view_.ClearChanged();
@@ -71,7 +71,7 @@
   const Resources& correction = node->use_correction;
   const Resources& used = view_.Use(*node);
   // Capacity by use is shown larger than it is by what the mean may have drifted: the filters are exact.
-  const RatioIndex::Rooms capacity{
+  const RatioIndex::Capacities capacity{
       std::min(cores * settings.cores_overcommit - requested.cores, refused.cores),
       std::min(memory * settings.memory_overcommit - requested.memory, refused.memory),
       (max_busy * cores - (1 - 2 * kUseDrift) * used.cores) / correction.cores,
@@ -94,7 +94,7 @@
 
 std::uint64_t PlacementIndex::examined() const {
   std::uint64_t all = examined_in_dropped_;
-  for (const RatioIndex& index : kinds_) all += index.looked();
+  for (const RatioIndex& index : kinds_) all += index.examined();
   return all;
 }
 
--- a/src/scheduling/request.h
+++ b/src/scheduling/request.h
@@ -28,6 +28,6 @@
 };
 
 // A pointer to a request is valid until the next insertion.
-using RequestTable = cluster_manager::NamedTable<RequestId, Request>;
+using RequestTable = cluster_manager::KeyedTable<RequestId, Request>;
 
 }  // namespace scheduling::internal
--- a/src/scheduling/retry_policy.cpp
+++ b/src/scheduling/retry_policy.cpp
@@ -39,7 +39,7 @@
   const ClassSettings& settings = context_.ClassOf(task);
   return settings.retry_safety == RetrySafety::kIdempotent ||
          (settings.retry_safety == RetrySafety::kIdempotencyKey &&
-          settings.key_scope == FailureDomain::kFleet);
+          settings.key_scope == FailureDomain::kCluster);
 }
 
 bool RetryPolicy::MayReject(const Request& request) const {
@@ -52,10 +52,10 @@
 bool RetryPolicy::IsBoundToLostZone(const Request& request) const {
   const ZonePolicy* policy = context_.zone_policy;
   if (policy == nullptr || !request.may_have_run) return false;
-  if (!policy->RejectsBoundRequests(request.task.class_index)) return false;
+  if (!policy->RejectsZoneBoundRequests(request.task.class_index)) return false;
   const ClassSettings& settings = context_.ClassOf(request.task);
   return settings.retry_safety == RetrySafety::kIdempotencyKey &&
-         settings.key_scope != FailureDomain::kFleet &&
+         settings.key_scope != FailureDomain::kCluster &&
          policy->IsLost(view_.Find(request.first_node)->entry.zone);
 }
 
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -98,7 +98,7 @@
   context.settings = *event.settings;
   std::vector<std::size_t> sources;
   for (std::size_t i = 0; i < context.settings.classes.size(); ++i) {
-    sources.push_back(i < event.learns_from.size() ? event.learns_from[i] : none);
+    sources.push_back(i < event.estimate_sources.size() ? event.estimate_sources[i] : none);
   }
   ResetClasses(sources);
   quota.AddTenants();
--- a/src/scheduling/service_placements.cpp
+++ b/src/scheduling/service_placements.cpp
@@ -38,7 +38,7 @@
     });
     it = it->second.empty() ? services_.erase(it) : std::next(it);
   }
-  cluster_manager::Tighten(&services_);
+  cluster_manager::ShrinkIfSparse(&services_);
 }
 
 }  // namespace scheduling::internal
--- a/src/scheduling/spread_constraint.cpp
+++ b/src/scheduling/spread_constraint.cpp
@@ -3,7 +3,7 @@
 namespace scheduling::internal {
 
 bool InSameDomain(FailureDomain domain, const NodeEntry& first, const NodeEntry& second) {
-  if (first.node == second.node || domain == FailureDomain::kFleet) return true;
+  if (first.node == second.node || domain == FailureDomain::kCluster) return true;
   if (domain == FailureDomain::kZone) return first.zone == second.zone;
   return domain == FailureDomain::kRack && first.rack == second.rack;
 }
--- a/src/server/serve.cpp
+++ b/src/server/serve.cpp
@@ -23,7 +23,7 @@
 int Serve(const ServerFiles& files) {
   SetHandledSignalsBlocked(true);
   log_level = LogLevelFromEnvironment();
-  ServerProcess process(files, ConfigFromEnvironment());
+  ServerProcess process(files, LoadConfigFromEnvironment());
   SetHandledSignalsBlocked(false);
   process.Run();
   return 0;
--- a/src/server/server_process.cpp
+++ b/src/server/server_process.cpp
@@ -33,19 +33,19 @@
 ServerProcess::ServerProcess(ServerFiles files, Config config)
     : files_(std::move(files)),
       config_(std::move(config)),
-      deployment_(zone_failover::DeploymentOf(config_.settings, config_.zones)),
+      deployment_(zone_failover::DeploymentFromSettings(config_.settings, config_.zones)),
       dispatcher_(&loop_, config_.settings, SeedHashes(config_.seed)),
-      node_pool_(&loop_, {config_.dial_timeout, config_.keepalive}, DescriptorsWithoutAdmin(config_.sockets),
-                 config_.seed, &dispatcher_),
+      node_pool_(&loop_, {config_.dial_timeout, config_.keepalive},
+                 DescriptorsWithoutAdmin(config_.max_descriptors), config_.seed, &dispatcher_),
       endpoint_list_(&loop_, config_, &dispatcher_),
       frontend_(&loop_, config_, dispatcher_.classes(), &dispatcher_) {
   dispatcher_.Connect(&frontend_, &node_pool_, &endpoint_list_);
   LoadZoneFailoverPlan();
-  frontend_.SetDescriptorLimit(DescriptorsWithoutAdmin(config_.sockets));
-  node_pool_.SetClientDescriptors([this] { return frontend_.size(); });
+  frontend_.SetDescriptorLimit(DescriptorsWithoutAdmin(config_.max_descriptors));
+  node_pool_.SetClientDescriptors([this] { return frontend_.connection_count(); });
   if (config_.admin) dispatcher_.SetSuspensions(&suspensions_);
   OpenSharedFiles();
-  endpoint_list_.PublishKnownList(config_.known);
+  endpoint_list_.PublishKnownList(config_.known_list);
   InstallSignalHandlers();
   Log("%s listens on %s", config_.name.c_str(), AddressText(frontend_.address()).c_str());
   if (config_.admin) {
@@ -103,11 +103,11 @@
     case Phase::kServing:
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kOpen);
       // Until now another process accepted on an inherited socket.
-      frontend_.Resume();
+      frontend_.ResumeAccepting();
       break;
     case Phase::kDraining:
-      Log("draining: %zu unanswered requests, %zu running tasks", dispatcher_.unanswered_requests(),
-          dispatcher_.RunningTasks());
+      Log("draining: %zu unanswered requests, %zu running tasks", dispatcher_.unanswered_request_count(),
+          dispatcher_.RunningTaskCount());
       frontend_.SetAcceptMode(ClientFrontend::AcceptMode::kDraining);
       break;
     case Phase::kAcceptingFinalConnections:
@@ -152,19 +152,19 @@
 // where it is invalid.
 void ServerProcess::ReloadConfig() {
   try {
-    const Config config = ConfigFromEnvironment(&config_.shape);
+    const Config config = LoadConfigFromEnvironment(&config_.required_shape);
     scheduling::Scheduler(config.settings, 0);  // throws where the settings are invalid for the scheduler
     const ClassTable::Change change = dispatcher_.ApplySettings(config.settings);
     frontend_.UpdateRequestLimits();
-    endpoint_list_.Reconfigure(config.bulletin, config.known);
+    endpoint_list_.Reconfigure(config.discovery, config.known_list);
     node_pool_.SetTimeouts({config.dial_timeout, config.keepalive});
-    frontend_.SetDescriptorLimit(DescriptorsWithoutAdmin(config.sockets));
-    node_pool_.SetDescriptorLimit(DescriptorsWithoutAdmin(config.sockets));
+    frontend_.SetDescriptorLimit(DescriptorsWithoutAdmin(config.max_descriptors));
+    node_pool_.SetDescriptorLimit(DescriptorsWithoutAdmin(config.max_descriptors));
     ++counters.reloads;
     Log("configuration reloaded, discovery at %s, classes: %d new, %d changed, %d dropped",
-        AddressText(config.bulletin).c_str(), change.added, change.changed, change.dropped);
+        AddressText(config.discovery).c_str(), change.added, change.changed, change.dropped);
     // The zone failover plan refers to classes by position, which may have changed.
-    deployment_ = zone_failover::DeploymentOf(dispatcher_.classes().settings(), config_.zones);
+    deployment_ = zone_failover::DeploymentFromSettings(dispatcher_.classes().settings(), config_.zones);
   } catch (const std::exception& error) {
     ++counters.reloads_refused;
     Log("configuration reload failed: %s", error.what());
@@ -174,7 +174,7 @@
 // Atomic, like ReloadConfig().
 void ServerProcess::ReloadZoneFailoverPlan() {
   try {
-    zone_failover_->Take(zone_failover::LoadPlan(files_.zone_failover_plan, deployment_));
+    zone_failover_->ApplyPlan(zone_failover::LoadPlan(files_.zone_failover_plan, deployment_));
     Log("zone failover: reloaded plan %s", files_.zone_failover_plan.c_str());
   } catch (const std::exception& error) {
     Log("zone failover: plan reload failed, keeping the current plan:\n%s", error.what());
@@ -187,21 +187,21 @@
   std::fprintf(stderr, "counter bytes_written %llu\n",
                static_cast<unsigned long long>(protocol::bytes_written));
   if (counting_build != nullptr) counting_build(stderr);
-  const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_requests()},
-                                                       {"standing", dispatcher_.RunningTasks()},
-                                                       {"owners", frontend_.size()},
+  const std::pair<const char*, std::size_t> sizes[] = {{"owed", dispatcher_.unanswered_request_count()},
+                                                       {"standing", dispatcher_.RunningTaskCount()},
+                                                       {"owners", frontend_.connection_count()},
                                                        {"owed_ends", frontend_.queued_completions()},
-                                                       {"listed", dispatcher_.listed_nodes()},
-                                                       {"module", dispatcher_.scheduler_entries()},
+                                                       {"listed", dispatcher_.listed_node_count()},
+                                                       {"module", dispatcher_.scheduler_entry_count()},
                                                        {"roster", endpoint_list_.size()},
-                                                       {"agents", node_pool_.size()},
+                                                       {"agents", node_pool_.node_count()},
                                                        {"agent_lines", node_pool_.connection_count()},
                                                        {"agent_open", node_pool_.unanswered_attempt_count()},
-                                                       {"blocks", Blocks().live()},
+                                                       {"blocks", SharedBlockPool().live()},
                                                        {"deadlines", loop_.deadlines()}};
   for (const auto& [name, size] : sizes) std::fprintf(stderr, "size %s %zu\n", name, size);
   if (zone_failover_) {
-    for (const std::string& line : zone_failover_->Describe(loop_.Now()))
+    for (const std::string& line : zone_failover_->StatusLines(loop_.Now()))
       std::fprintf(stderr, "%s\n", line.c_str());
   }
   std::fflush(stderr);
--- a/src/server/server_process.h
+++ b/src/server/server_process.h
@@ -31,7 +31,7 @@
 #include "server/lifecycle.h"
 #include "server/serve.h"
 #include "shared_file/shared_file_monitor.h"
-#include "zone_failover/sites.h"
+#include "zone_failover/zone_failover.h"
 
 namespace cluster_manager {
 
--- a/src/server/server_process_handover.cpp
+++ b/src/server/server_process_handover.cpp
@@ -45,10 +45,10 @@
   PublishHandover(false);
   const Time now = loop_.Now();
   if (now >= handover_by_ - kCloseMargin) frontend_.CloseAllGracefully();
-  const bool complete = dispatcher_.unanswered_requests() == 0 && frontend_.size() == 0;
+  const bool complete = dispatcher_.unanswered_request_count() == 0 && frontend_.connection_count() == 0;
   if (complete || now >= handover_by_ - kHandoverMargin) {
     PublishHandover(true);
-    Log("handed over: %zu tasks", dispatcher_.RunningTasks());
+    Log("handed over: %zu tasks", dispatcher_.RunningTaskCount());
     Advance(LifecycleEvent::kRequestsAnswered);
   } else {
     loop_.After(kCheckInterval, [this] { CheckHandoverComplete(); });
@@ -62,14 +62,15 @@
     dispatcher_.ForEachRunningTask(
         [&](TaskId id, const scheduling::Task& task, const ForwardedPayload& payload, NodeId node) {
           const std::size_t tenant = static_cast<std::size_t>(task.tenant);
-          handover.tasks.push_back({id, node, dispatcher_.classes().NameOf(task.class_index),
+          handover.tasks.push_back({id, node, dispatcher_.classes().ClassName(task.class_index),
                                     tenant < settings.tenants.size() ? settings.tenants[tenant].name : "",
                                     task, std::string(payload.bytes.view()), payload.class_end});
         });
   }
   for (const auto& [id, end] : frontend_.RemainingCompletions(with_tasks))
     handover.completions.push_back({id, HandedOverCompletion::kAnyNode, end});
-  for (const UnclaimedCompletions::Completion& completion : dispatcher_.unclaimed_completions().all()) {
+  for (const UnclaimedCompletions::Completion& completion :
+       dispatcher_.unclaimed_completions().completions()) {
     const TaskEnd end = completion.completed ? TaskEnd::kCompleted : TaskEnd::kAborted;
     handover.completions.push_back({completion.task, completion.node, end});
   }
@@ -89,11 +90,11 @@
 // Replaces a class or tenant that this process does not know by a default.
 TaskRequest ServerProcess::ToTaskRequest(const HandedOverTask& task) const {
   TaskRequest request{task.id, 0, task.task, {}, task.node};
-  request.task.class_index = dispatcher_.classes().ForRunningTask(task.class_name);
+  request.task.class_index = dispatcher_.classes().PositionForRunningTask(task.class_name);
   const auto& tenants = dispatcher_.classes().settings().tenants;
   const auto tenant = std::ranges::find(tenants, task.tenant, &scheduling::TenantSettings::name);
   request.task.tenant = tenant == tenants.end() ? 0 : static_cast<int>(tenant - tenants.begin());
-  request.payload.bytes = Blocks().Make(task.payload.size());
+  request.payload.bytes = SharedBlockPool().Allocate(task.payload.size());
   request.payload.bytes.Append(task.payload);
   request.payload.class_end = task.class_end;
   return request;
--- a/src/server/server_process_operators.cpp
+++ b/src/server/server_process_operators.cpp
@@ -36,9 +36,9 @@
 std::string ServerProcess::Metrics() const {
   return dispatcher_.metrics().FormatJson(
       {.attempts_sent = counters.attempts_sent,
-       .open_requests = dispatcher_.unanswered_requests() + dispatcher_.RunningTasks(),
+       .open_requests = dispatcher_.unanswered_request_count() + dispatcher_.RunningTaskCount(),
        .listed_nodes = endpoint_list_.size(),
-       .unavailable_nodes = dispatcher_.excluded_nodes(),
+       .unavailable_nodes = dispatcher_.excluded_node_count(),
        .reloads_applied = counters.reloads,
        .reloads_rejected = counters.reloads_refused});
 }
--- a/src/server/server_process_shutdown.cpp
+++ b/src/server/server_process_shutdown.cpp
@@ -30,8 +30,8 @@
 }  // namespace
 
 void ServerProcess::LogStop() {
-  Log("stopping: %zu unanswered requests, %zu running tasks", dispatcher_.unanswered_requests(),
-      dispatcher_.RunningTasks());
+  Log("stopping: %zu unanswered requests, %zu running tasks", dispatcher_.unanswered_request_count(),
+      dispatcher_.RunningTaskCount());
 }
 
 void ServerProcess::BeginShutdown() {
@@ -62,7 +62,7 @@
 
 void ServerProcess::CheckRequestsAnswered() {
   const Time now = loop_.Now();
-  const bool unanswered = dispatcher_.unanswered_requests() > 0;
+  const bool unanswered = dispatcher_.unanswered_request_count() > 0;
   if (unanswered) peer_deadline_ = now + kPeerTimeout;
   const bool time_is_up = now >= std::min(peer_deadline_, exit_by_ - kCloseMargin);
   if (time_is_up || (!unanswered && frontend_.IsQuiescent())) {
--- a/src/simulator/events.cpp
+++ b/src/simulator/events.cpp
@@ -140,7 +140,7 @@
 Event ReadPeerData(const Fields& f) {
   f.Expect(3);
   PeerMessageReceived said;
-  said.author = static_cast<int>(f.Int(1, "Author", 0, kMaxIndex));
+  said.sender = static_cast<int>(f.Int(1, "Author", 0, kMaxIndex));
   if (f.Absent(2)) return said;
   const std::string_view hex = f.Raw(2);
   if (hex.size() % 2 != 0) f.Bad("Body", "odd number of hex digits");
@@ -164,7 +164,7 @@
   f.Expect(9);
   NodeEntry entry;
   entry.free_memory = f.Number(0, "MemoryFree");
-  if (!f.Absent(1)) entry.nominal = f.Number(1, "Nominal");
+  if (!f.Absent(1)) entry.nominal_capacity = f.Number(1, "Nominal");
   entry.kind = static_cast<int>(f.IntOr(2, "Machine", 0, kMaxIndex, 0));
   entry.zone = static_cast<int>(f.IntOr(3, "RegionPart", 0, kMaxIndex, 0));
   entry.rack = static_cast<int>(f.IntOr(4, "Pack", 0, kMaxIndex, 0));
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -173,8 +173,8 @@
 int Run(std::istream& in, std::ostream& out, std::ostream& errors) {
   Host host(out);
   try {
-    for (std::string line; std::getline(in, line);) host.Line(line);
-    host.End();
+    for (std::string line; std::getline(in, line);) host.ProcessLine(line);
+    host.Finish();
   } catch (const WireError& error) {
     errors << "passbridge_wirehost: " << error.what() << std::endl;
     return 1;
--- a/src/simulator/settings.cpp
+++ b/src/simulator/settings.cpp
@@ -104,9 +104,9 @@
                          {"token", static_cast<int>(RetrySafety::kIdempotencyKey)},
                          {"side_effect", static_cast<int>(RetrySafety::kNotIdempotent)}};
   const Words places = {
-      {"none", static_cast<int>(FailureDomain::kNone)}, {"machine", static_cast<int>(FailureDomain::kNode)},
-      {"cell", static_cast<int>(FailureDomain::kRack)}, {"zone", static_cast<int>(FailureDomain::kZone)},
-      {"all", static_cast<int>(FailureDomain::kFleet)},
+      {"none", static_cast<int>(FailureDomain::kNone)},   {"machine", static_cast<int>(FailureDomain::kNode)},
+      {"cell", static_cast<int>(FailureDomain::kRack)},   {"zone", static_cast<int>(FailureDomain::kZone)},
+      {"all", static_cast<int>(FailureDomain::kCluster)},
   };
   const std::string family = "FamilyInfo.";
   const auto calm = pairs.Numbers(family + "ClassCalm");
@@ -188,7 +188,7 @@
   pairs.Number("FamilyInfo.ColdSends", &s.slow_start_sends);
   pairs.When("Period", &s.tick);
   pairs.When("Rules.AnswerSlack", &s.answer_slack);
-  pairs.When("Rules.AskWithin", &s.subscribe_within);
+  pairs.When("Rules.AskWithin", &s.subscription_timeout);
   pairs.When("Rules.Cold", &s.slow_start_duration);
   pairs.Number("Rules.ColdFrom", &s.slow_start_initial_speed);
   pairs.When("Rules.Fall", &s.overload_window);
--- a/src/spending/asks.cpp
+++ b/src/spending/asks.cpp
@@ -141,7 +141,7 @@
   Verdict verdict{Verdict::Kind::kNo, reason, deployment_.most_away, "team " + team.name + ": "};
   // Owners that wait for the turn of the month do not all come in its first second.
   const Time turn = teams_[static_cast<std::size_t>(index)].window.starts[3] * kSecond - now;
-  const Time spread = static_cast<Time>(HashDraw(ask.id, static_cast<std::uint64_t>(month)) * 2e9);
+  const Time spread = static_cast<Time>(HashToUnitInterval(ask.id, static_cast<std::uint64_t>(month)) * 2e9);
   switch (reason) {
     case Reason::kNone:
       break;
--- a/src/spending/plan.cpp
+++ b/src/spending/plan.cpp
@@ -10,8 +10,8 @@
 namespace cluster_manager::spending {
 namespace {
 
-using json_files::Below;
-using json_files::Listed;
+using json_files::JoinList;
+using json_files::JoinPath;
 using nlohmann::json;
 
 std::string At(const std::string& place, std::size_t i) { return place + "[" + std::to_string(i) + "]"; }
@@ -25,11 +25,12 @@
   const json* List(const json& in, const std::string& place, const char* name, std::size_t most) {
     const auto it = in.find(name);
     if (it == in.end()) {
-      AddError(Below(place, name), "is missing, write a list");
+      AddError(JoinPath(place, name), "is missing, write a list");
       return nullptr;
     }
     if (!it->is_array() || it->empty() || it->size() > most) {
-      AddError(Below(place, name), "is " + Shown(*it) + ", write a list of 1 to " + std::to_string(most));
+      AddError(JoinPath(place, name),
+               "is " + FormatValue(*it) + ", write a list of 1 to " + std::to_string(most));
       return nullptr;
     }
     return &*it;
@@ -39,19 +40,19 @@
               double unit, std::int64_t* to) {
     const auto it = in.find(name);
     if (it == in.end()) return;
-    if (!Number(*it, Below(place, name), least, most)) return;
+    if (!Number(*it, JoinPath(place, name), least, most)) return;
     *to = static_cast<std::int64_t>(it->get<double>() * unit + 0.5);
   }
   bool Amount(const json& in, const std::string& place, const char* name, Money* to) {
     const auto it = in.find(name);
     if (it == in.end()) {
-      AddError(Below(place, name), std::string("is missing, write ") + kAmount);
+      AddError(JoinPath(place, name), std::string("is missing, write ") + kAmount);
       return false;
     }
     std::optional<Money> read;
     if (it->is_string()) read = MoneyNamed(it->get<std::string>());
     if (it->is_number_unsigned()) read = MoneyNamed(it->dump());
-    if (!read) AddError(Below(place, name), "is " + Shown(*it) + ", write " + kAmount);
+    if (!read) AddError(JoinPath(place, name), "is " + FormatValue(*it) + ", write " + kAmount);
     if (read) *to = *read;
     return read.has_value();
   }
@@ -60,7 +61,7 @@
     if (it == in.end()) return false;
     if (!it->is_string() || it->get_ref<const std::string&>().empty() ||
         it->get_ref<const std::string&>().size() > 200) {
-      AddError(Below(place, name), "is " + Shown(*it) + ", write a text of 1 to 200 bytes");
+      AddError(JoinPath(place, name), "is " + FormatValue(*it) + ", write a text of 1 to 200 bytes");
       return false;
     }
     *to = it->get<std::string>();
@@ -87,7 +88,7 @@
     const std::optional<Seconds> at =
         from != each.end() && from->is_string() ? InstantNamed(from->get<std::string>()) : std::nullopt;
     if (!at) {
-      read.AddError(place + ".from", (from == each.end() ? "is missing" : "is " + read.Shown(*from)) +
+      read.AddError(place + ".from", (from == each.end() ? "is missing" : "is " + read.FormatValue(*from)) +
                                          ", write an instant as \"2026-03-01T00:00:00Z\"");
     } else if (!dated.empty() && *at <= dated.back().from) {
       read.AddError(place + ".from", "is " + from->dump() +
@@ -145,13 +146,15 @@
     read.Figure(steps, here, "no_more_workers", 0, 1, 1e6, &to->no_more);
     read.Figure(steps, here, "hard_stop", 0, 10, 1e6, &to->hard);
     if (to->notice > to->no_more)
-      read.AddError(here + ".notice", "is " + json_files::Plain(static_cast<double>(to->notice) / 1e6) +
+      read.AddError(here + ".notice", "is " +
+                                          json_files::FormatNumber(static_cast<double>(to->notice) / 1e6) +
                                           ", write at most no_more_workers, " +
-                                          json_files::Plain(static_cast<double>(to->no_more) / 1e6));
+                                          json_files::FormatNumber(static_cast<double>(to->no_more) / 1e6));
     if (to->hard < to->no_more)
-      read.AddError(here + ".hard_stop", "is " + json_files::Plain(static_cast<double>(to->hard) / 1e6) +
-                                             ", write at least no_more_workers, " +
-                                             json_files::Plain(static_cast<double>(to->no_more) / 1e6));
+      read.AddError(here + ".hard_stop",
+                    "is " + json_files::FormatNumber(static_cast<double>(to->hard) / 1e6) +
+                        ", write at least no_more_workers, " +
+                        json_files::FormatNumber(static_cast<double>(to->no_more) / 1e6));
   };
   if (it->contains("*")) {
     Steps all;
@@ -203,8 +206,8 @@
       if (tenant.empty() && service.empty()) continue;
       if (!tenant.empty() && !deployment.tenants.empty() &&
           std::ranges::find(deployment.tenants, tenant) == deployment.tenants.end())
-        read.AddError(here + ".tenant",
-                      "is \"" + tenant + "\", write a tenant of the settings: " + Listed(deployment.tenants));
+        read.AddError(here + ".tenant", "is \"" + tenant + "\", write a tenant of the settings: " +
+                                            JoinList(deployment.tenants));
       const auto [known, fresh] = places.emplace(std::pair(tenant, service), here);
       if (!fresh) {
         read.AddError(here, "is " + claim.dump() + ", which " + known->second +
@@ -279,7 +282,7 @@
 }
 
 Plan LoadPlan(const std::string& file, const Deployment& deployment) {
-  return ReadPlan(json_files::Load(file), file, deployment);
+  return ReadPlan(json_files::LoadDocument(file), file, deployment);
 }
 
 }  // namespace cluster_manager::spending
--- a/src/store/store_thread.h
+++ b/src/store/store_thread.h
@@ -6,7 +6,7 @@
 // waits for room, as the bound counts what is queued, at work and not yet taken together.
 //
 // Full: TryAppend says false, and the caller must not go on as if it were saved: the agreement stays silent
-// by itself, as it waits for Saved. After a fault each further batch is answered with the same fault.
+// by itself, as it waits for OnSaved. After a fault each further batch is answered with the same fault.
 #pragma once
 
 #include <deque>
@@ -37,13 +37,13 @@
   StoreThread(std::unique_ptr<Store> store, std::size_t most_waiting, Callback wake)
       : store_(std::move(store)), queue_(most_waiting, wake), thread_([this] { Run(); }) {}
   // What is queued is still written: it holds words that the agreement has counted on.
-  ~StoreThread() { Stop(Ending::kDrain); }
+  ~StoreThread() { Stop(StopMode::kDrain); }
 
   bool TryAppend(Work work) { return queue_.TryPush(std::move(work)); }
-  std::optional<Done> TakeDone() { return queue_.TakeResult(); }
+  std::optional<Done> TakeDone() { return queue_.PopResult(); }
   // Waits for the thread. Results can still be taken; what is returned was dropped and is not written.
-  std::deque<Work> Stop(Ending ending) {
-    std::deque<Work> dropped = queue_.Stop(ending);
+  std::deque<Work> Stop(StopMode mode) {
+    std::deque<Work> dropped = queue_.Stop(mode);
     if (thread_.joinable()) thread_.join();
     return dropped;
   }
@@ -53,7 +53,7 @@
     std::string fault;
     while (std::optional<Work> work = queue_.Pop()) {
       if (fault.empty()) store_->Append(work->batch, &fault);
-      queue_.Give(Done{work->ticket, fault});
+      queue_.PushResult(Done{work->ticket, fault});
     }
   }
 
--- a/src/zone_failover/admission_control.cpp
+++ b/src/zone_failover/admission_control.cpp
@@ -17,13 +17,13 @@
 
 void AdmissionControl::Arrived(int rank, Amount amount, Time now) {
   Flow& flow = demand_[static_cast<std::size_t>(rank)];
-  flow.cores.Note(now, amount.cores);
-  flow.memory.Note(now, amount.memory);
+  flow.cores.Record(now, amount.cores);
+  flow.memory.Record(now, amount.memory);
 }
 
 void AdmissionControl::Ended(Amount amount, Time now) {
-  ends_.cores.Note(now, amount.cores);
-  ends_.memory.Note(now, amount.memory);
+  ends_.cores.Record(now, amount.cores);
+  ends_.memory.Record(now, amount.memory);
 }
 
 void AdmissionControl::Open() {
@@ -97,7 +97,7 @@
 
 bool AdmissionControl::Admits(int rank, std::uint64_t name) const {
   if (rank != level_) return rank < level_;
-  return HashDraw(kDraw, name) < share_;
+  return HashToUnitInterval(kDraw, name) < share_;
 }
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/plan_reader.cpp
+++ b/src/zone_failover/plan_reader.cpp
@@ -25,7 +25,7 @@
   const json* Member(const json& in, const std::string& place, const char* name,
                      const std::vector<std::string>& members) {
     const auto it = in.find(name);
-    if (it == in.end() || !Object(*it, json_files::Below(place, name), members)) return nullptr;
+    if (it == in.end() || !Object(*it, json_files::JoinPath(place, name), members)) return nullptr;
     return &*it;
   }
   template <typename Value>
@@ -34,7 +34,7 @@
     if (in == nullptr) return;
     const auto it = in->find(name);
     if (it == in->end()) return;
-    if (!Number(*it, json_files::Below(place, name), least, most)) return;
+    if (!Number(*it, json_files::JoinPath(place, name), least, most)) return;
     *to = static_cast<Value>(it->get<double>() * unit);
   }
   void Ms(const json* in, const std::string& place, const char* name, double least, double most,
@@ -48,7 +48,7 @@
                                       : deployment_.classes.end();
     if (it == deployment_.classes.end()) {
       AddError(place, "is " + value.dump() + ", write a class of the settings: " +
-                          json_files::Listed(deployment_.classes) + "; or \"*\" for all");
+                          json_files::JoinList(deployment_.classes) + "; or \"*\" for all");
       return kNone;
     }
     return static_cast<int>(it - deployment_.classes.begin());
@@ -57,7 +57,7 @@
     const auto it = in.find(name);
     if (it == in.end()) return -1;
     if (!it->is_boolean()) {
-      AddError(json_files::Below(place, name),
+      AddError(json_files::JoinPath(place, name),
                "is " + it->dump() + ", write true or false, or leave it out for either");
       return -1;
     }
@@ -136,7 +136,7 @@
     if (!read_->Object(rule, place, {"class", "over_share", "retry", "large"})) return;
     if (!rule.contains("class")) {
       read_->AddError(place + ".class", "is missing, write a class of the settings: " +
-                                            json_files::Listed(deployment_.classes));
+                                            json_files::JoinList(deployment_.classes));
       return;
     }
     RankRule made;
@@ -204,9 +204,9 @@
     read->AddError("return.hold_most_ms", "is " + MillisecondsText(watch.hold_most) +
                                               ", write at least hold_ms, " + MillisecondsText(watch.hold));
   if (ramp.complete < ramp.first)
-    read->AddError("return.complete_per_s", "is " + json_files::Plain(ramp.complete) +
+    read->AddError("return.complete_per_s", "is " + json_files::FormatNumber(ramp.complete) +
                                                 ", write at least first_per_s, " +
-                                                json_files::Plain(ramp.first));
+                                                json_files::FormatNumber(ramp.first));
 }
 
 void ReadRetryAfter(const json& top, const Deployment& deployment, Reader* read, Plan* plan) {
@@ -241,7 +241,7 @@
 }
 
 Plan LoadPlan(const std::string& file, const Deployment& deployment) {
-  return ReadPlan(json_files::Load(file), file, deployment);
+  return ReadPlan(json_files::LoadDocument(file), file, deployment);
 }
 
 }  // namespace cluster_manager::zone_failover
--- a/src/zone_failover/sites.cpp
+++ b/src/zone_failover/sites.cpp
@@ -1,9 +1,9 @@
-#include "zone_failover/sites.h"
-
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
+#include "zone_failover/zone_failover.h"
+
 namespace cluster_manager::zone_failover {
 namespace {
 
@@ -37,7 +37,7 @@
 void ZoneFailover::Listed(NodeId node, int site, bool in_service, const Size& size, Time now) {
   if (!in_service || !Known(site)) {
     nodes_.erase(node);
-    if (nodes_.empty()) Tighten(&nodes_);
+    if (nodes_.empty()) ShrinkIfSparse(&nodes_);
     watch_.Listed(node, -1, now);
     return;
   }
@@ -52,8 +52,8 @@
 
 void ZoneFailover::TaskOver(double cores, double memory, Time now) {
   admission_.Ended({cores, memory}, now);
-  bound_.cores.Note(now, -cores);  // the list shows that as late as it shows a bind
-  bound_.memory.Note(now, -memory);
+  bound_.cores.Record(now, -cores);  // the list shows that as late as it shows a bind
+  bound_.memory.Record(now, -memory);
 }
 
 // What this cluster manager may still bind: of all that the usable sites can take less the reserve and what
@@ -169,8 +169,8 @@
 }
 
 void ZoneFailover::RecordPlacement(int site, const scheduling::Task& task, Time now) {
-  bound_.cores.Note(now, task.cores);
-  bound_.memory.Note(now, task.memory);
+  bound_.cores.Record(now, task.cores);
+  bound_.memory.Record(now, task.memory);
   if (!Known(site)) return;
   Site& its = sites_[static_cast<std::size_t>(site)];
   if (watch_.site(site).answered_at == 0) ++its.sent_unknown;
@@ -191,7 +191,7 @@
   return admission_.Admits(rank, task.name != 0 ? task.name : task.service);
 }
 
-bool ZoneFailover::RejectsBoundRequests(int class_index) const {
+bool ZoneFailover::RejectsZoneBoundRequests(int class_index) const {
   const std::size_t i = static_cast<std::size_t>(class_index);
   return i < plan_.tied.size() && plan_.tied[i] == Tied::kRefuse;
 }
@@ -201,7 +201,7 @@
 Time ZoneFailover::RetryAfter(int rank, const scheduling::Task& task) const {
   const int ranks = std::max(1, admission_.ranks());
   const double below = static_cast<double>(std::max(0, rank - admission_.level())) / ranks;
-  const double draw = HashDraw(kAwayDraw, task.name != 0 ? task.name : task.service);
+  const double draw = HashToUnitInterval(kAwayDraw, task.name != 0 ? task.name : task.service);
   const double share = std::clamp(0.5 * below + 0.5 * draw, 0.0, 1.0);
   return plan_.away_least +
          static_cast<Time>(share * static_cast<double>(plan_.away_most - plan_.away_least));
--- a/src/zone_failover/sites.h
+++ b/src/zone_failover/sites.h
@@ -54,7 +54,7 @@
   void RecordPlacement(int site, const scheduling::Task& task, Time now) override;
   int AssignRank(const scheduling::Task& task, bool over_share, bool large, Time now) override;
   bool Admits(int rank, const scheduling::Task& task) const override;
-  bool RejectsBoundRequests(int class_index) const override;
+  bool RejectsZoneBoundRequests(int class_index) const override;
   Time RetryAfter(int rank, const scheduling::Task& task) const override;
 
   const ZoneHealthMonitor& watch() const { return watch_; }
--- a/src/zone_failover/zone_health_monitor.cpp
+++ b/src/zone_failover/zone_health_monitor.cpp
@@ -24,7 +24,7 @@
   const bool known = site >= 0 && site < size();
   if (!known) {
     nodes_.erase(node);
-    if (nodes_.empty()) Tighten(&nodes_);
+    if (nodes_.empty()) ShrinkIfSparse(&nodes_);
     return;
   }
   nodes_[node].site = site;
@@ -108,7 +108,7 @@
   std::vector<std::pair<bool, std::pair<double, NodeId>>> all;
   for (const auto& [id, n] : nodes_) {
     if (n.site != site) continue;
-    all.push_back({(n.silent_since > 0) != silent_first, {HashDraw(turn_, id), id}});
+    all.push_back({(n.silent_since > 0) != silent_first, {HashToUnitInterval(turn_, id), id}});
   }
   ++turn_;
   const std::size_t count = std::min(all.size(), static_cast<std::size_t>(terms_.asked_at_once));
--- a/tests/address_successor_test.cpp
+++ b/tests/address_successor_test.cpp
@@ -35,9 +35,9 @@
     Tell({Node("s-00000002", second.endpoint(), 5, "terminated")});
     Ask(&*owner, kTask, "unsafe");
     agent.emplace(first.Accept());
-    agent->Hear(Type::kSetUp, kTask);
+    agent->Hear(Type::kTaskRequest, kTask);
     agent->Answer(kTask, "there");
-    owner->Hear(Type::kAnswer, kTask);
+    owner->Hear(Type::kTaskAccepted, kTask);
   }
   void Tell(const std::vector<json>& nodes) {
     const std::string id = std::to_string(++number);
@@ -54,8 +54,9 @@
       for (Wire& line : lines) {
         if (!line.Speaks(2)) continue;
         const Heard heard = line.Hear();
-        if (heard.type == Type::kTest) line.Say(Type::kTestResult, heard.task, Cause::kTestPassed);
-        if (heard.type != Type::kSetUp) continue;
+        if (heard.type == Type::kHealthCheck)
+          line.Say(Type::kHealthCheckResult, heard.task, Cause::kHealthCheckPassed);
+        if (heard.type != Type::kTaskRequest) continue;
         CHECK(heard.task == task);
         heir = &line;
         return;
@@ -88,7 +89,7 @@
   SUBCASE("the heir last") { at_once = false; }
   if (!late_answer) {
     heir->Answer(kOther, "here");
-    owner->Hear(Type::kAnswer, kOther);
+    owner->Hear(Type::kTaskAccepted, kOther);
   }
   if (at_once) {
     Tell({Gone(), Heir(boot_ms)});
@@ -99,14 +100,14 @@
   Wait();
   if (late_answer) {
     heir->Answer(kOther, "here");
-    owner->Hear(Type::kAnswer, kOther);
+    owner->Hear(Type::kTaskAccepted, kOther);
   }
   owner->NothingElse();
   program->Counted("tasks_moved_to_address_successor", 1);
   // Its further life is the new node's: another task goes there, and both ends are heard.
   Takes(3);
   heir->Answer(3, "here");
-  owner->Hear(Type::kAnswer, 3);
+  owner->Hear(Type::kTaskAccepted, 3);
   heir->Say(Type::kRelease, kOther, Cause::kEnded);
   CHECK(owner->Hear(Type::kRelease, kOther).cause == 16);
   // And its death is that of both.
@@ -122,7 +123,7 @@
   program->Logged("connection reset");
   Takes(kOther);
   heir->Answer(kOther, "here");
-  owner->Hear(Type::kAnswer, kOther);
+  owner->Hear(Type::kTaskAccepted, kOther);
   bool both = false;
   SUBCASE("the list tells since when it is up") {
     Tell({Gone(), Heir(NowMs() + 1)});  // later than both: nothing is known to be with the heir
@@ -148,7 +149,7 @@
   SUBCASE("there is none") { Tell({Gone()}); }
   CHECK(owner->Hear(Type::kRelease, kTask).cause == 41);
   Heard heard = agent->Hear();
-  while (heard.type == Type::kTest) heard = agent->Hear();
+  while (heard.type == Type::kHealthCheck) heard = agent->Hear();
   CHECK(heard.type == Type::kRelease);
   CHECK(heard.task == kTask);
   CHECK(heard.cause == 31);
--- a/tests/busy_client.h
+++ b/tests/busy_client.h
@@ -38,7 +38,7 @@
     for (Wire& line : lines) {
       while (line.Speaks(0) && !line.Ended()) {
         const Heard heard = line.Hear();
-        if (heard.type == Type::kSetUp) replies.push_back({now + kNodeTakes, &line, heard.task});
+        if (heard.type == Type::kTaskRequest) replies.push_back({now + kNodeTakes, &line, heard.task});
       }
     }
     for (; !replies.empty() && replies.front().due <= now; replies.pop_front())
--- a/tests/class_table_test.cpp
+++ b/tests/class_table_test.cpp
@@ -38,7 +38,7 @@
   CHECK(table.Position("b") == 1);
   CHECK(table.Position("B") == -1);
   const auto change = table.Apply(Of({Class("c"), Class("a"), Class("b")}, 5));
-  CHECK(change.learns_from == Ints{0, 1, 2});
+  CHECK(change.estimate_sources == Ints{0, 1, 2});
   CHECK(change.added + change.dropped + change.changed == 0);
   CHECK(table.Position("a") == 0);
   CHECK(table.Position("c") == 2);
@@ -52,7 +52,7 @@
   table.Use(0);
   const auto change = table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
   CHECK(change.changed == 1);
-  CHECK(change.learns_from == Ints{0, 1, 0});
+  CHECK(change.estimate_sources == Ints{0, 1, 0});
   CHECK(table.Position("a") == 2);
   CHECK(table.NameOf(0) == "a");
   CHECK_FALSE(table.in_force(0));
@@ -63,7 +63,7 @@
   CHECK(table.in_use(0) == 0);
   // The place that it left is the next to be used again.
   const auto next = table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b"), Class("new")}));
-  CHECK(next.learns_from == Ints{-1, 1, 2});
+  CHECK(next.estimate_sources == Ints{-1, 1, 2});
   CHECK(next.added == 1);
   CHECK(table.Position("new") == 0);
   CHECK(table.size() == 3);
@@ -74,7 +74,7 @@
   const auto change =
       table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b", RetrySafety::kIdempotencyKey)}));
   CHECK(change.changed == 2);
-  CHECK(change.learns_from == Ints{0, 1});
+  CHECK(change.estimate_sources == Ints{0, 1});
   CHECK(table.Position("b") == 1);
   CHECK(table.settings().classes[1].retry_safety == RetrySafety::kIdempotencyKey);
 }
@@ -84,7 +84,7 @@
   table.Use(0);
   const auto change =
       table.Apply(Of({Class("a", RetrySafety::kIdempotencyKey), Class("c")}));  // b's place is free
-  CHECK(change.learns_from == Ints{0, 0, 2});
+  CHECK(change.estimate_sources == Ints{0, 0, 2});
   CHECK(table.Position("a") == 1);
   CHECK(change.dropped == 1);
   CHECK(table.Position("b") == -1);
@@ -97,7 +97,7 @@
   CHECK(change.added == 1);
   CHECK(change.dropped == 1);
   CHECK(change.changed == 0);
-  CHECK(change.learns_from == Ints{0, 1, -1});
+  CHECK(change.estimate_sources == Ints{0, 1, -1});
   CHECK(table.Position("a") == -1);
   CHECK(table.Position("A") == 2);
   CHECK(table.NameOf(0) == "a");
@@ -109,12 +109,12 @@
     if (used) table.Use(0);
     const auto dropped = table.Apply(Of({Class("b")}));
     CHECK(dropped.dropped == 1);
-    CHECK(dropped.learns_from == Ints{0, 1});
+    CHECK(dropped.estimate_sources == Ints{0, 1});
     CHECK(dropped.settings.classes[0] == Class("a"));  // keeps what stood there
     CHECK(table.Position("a") == -1);
     const auto back = table.Apply(Of({Class("b"), Class("a")}));
     CHECK(back.added == 1);
-    CHECK(back.learns_from == Ints{0, 1});
+    CHECK(back.estimate_sources == Ints{0, 1});
     CHECK(table.Position("a") == 0);
     CHECK(table.in_use(0) == (used ? 1U : 0U));
     CHECK(table.size() == 2);
@@ -126,14 +126,14 @@
   table.Use(0);
   table.Apply(Of({Class("b")}));
   const auto back = table.Apply(Of({Class("a", RetrySafety::kNotIdempotent), Class("b")}));
-  CHECK(back.learns_from == Ints{0, 1, -1});
+  CHECK(back.estimate_sources == Ints{0, 1, -1});
   CHECK(table.Position("a") == 2);
   CHECK(back.settings.classes[0] == Class("a"));
   table.Use(2);
   // Changed back while tasks of both are under way: the first place serves, as it stands.
   const auto again = table.Apply(Of({Class("a"), Class("b")}));
   CHECK(again.changed == 1);
-  CHECK(again.learns_from == Ints{0, 1, 2});
+  CHECK(again.estimate_sources == Ints{0, 1, 2});
   CHECK(table.Position("a") == 0);
   CHECK_FALSE(table.in_force(2));
 }
@@ -145,7 +145,7 @@
   const auto change =
       table.Apply(Of({Class("b", RetrySafety::kIdempotent, 1), Class("a", RetrySafety::kNotIdempotent, 2)}));
   CHECK(change.changed == 2);
-  CHECK(change.learns_from == Ints{0, 1, 1, 0});
+  CHECK(change.estimate_sources == Ints{0, 1, 1, 0});
   CHECK(table.Position("b") == 2);
   CHECK(table.Position("a") == 3);
 }
@@ -189,12 +189,12 @@
       const Settings before = table.settings();
       const auto change = table.Apply(Of(classes));
       REQUIRE(change.settings.classes == table.settings().classes);
-      REQUIRE(change.learns_from.size() == table.size());
+      REQUIRE(change.estimate_sources.size() == table.size());
       std::size_t needed = 0;
       for (std::size_t i = 0; i < table.size(); ++i) {
         const int at = static_cast<int>(i);
         needed += table.in_force(at) || table.in_use(at) > 0 ? 1 : 0;
-        const int from = change.learns_from[i];
+        const int from = change.estimate_sources[i];
         REQUIRE(from < static_cast<int>(before.classes.size()));
         if (from >= 0) REQUIRE(before.classes[static_cast<std::size_t>(from)].name == table.NameOf(at));
       }
--- a/tests/cli_test.cpp
+++ b/tests/cli_test.cpp
@@ -95,9 +95,9 @@
 
 TEST_CASE_FIXTURE(Desk, "explain knows every code that it lists, and says when there is none") {
   CHECK(Run("explain") == 0);
-  CHECK(out.find("L006  a unit that there is not\n") != std::string::npos);
+  CHECK(out.find("L006  unknown unit\n") != std::string::npos);
   CHECK(Run("explain R002") == 0);
-  CHECK(out.find("R002: files that include each other") == 0);
+  CHECK(out.find("R002: circular includes") == 0);
   CHECK(Run("explain X999") == 2);
   CHECK(Says("no error has the code X999"));
 }
--- a/tests/compatibility_config_test.cpp
+++ b/tests/compatibility_config_test.cpp
@@ -16,7 +16,7 @@
 
 #include "config/config.h"
 #include "config/config_error.h"
-#include "config/shape.h"
+#include "config/config_validation.h"
 #include "discovery/endpoint_list.h"
 
 namespace cluster_manager {
@@ -56,10 +56,10 @@
 class Summary {
  public:
   explicit Summary(const Config& c) {
-    Add(c.name, AddressText(c.listen), AddressText(c.bulletin), c.admin ? AddressText(*c.admin) : "none");
-    Add(c.seed, c.sockets, c.dial_timeout, c.keepalive, c.settings.classes.size());
+    Add(c.name, AddressText(c.listen), AddressText(c.discovery), c.admin ? AddressText(*c.admin) : "none");
+    Add(c.seed, c.max_descriptors, c.dial_timeout, c.keepalive, c.settings.classes.size());
     for (const std::string& zone : c.zones) Add("zone", zone);
-    for (const std::string& kind : c.kinds) Add("kind", kind);
+    for (const std::string& kind : c.node_kinds) Add("kind", kind);
     for (const scheduling::ClassSettings& each : c.settings.classes) AddClass(each);
     for (const scheduling::TenantSettings& each : c.settings.tenants) {
       Add(each.name, each.traffic_share, each.quota_cores);
@@ -91,24 +91,24 @@
         s.reports_task_use, s.reports_memory_pressure);
     Add(s.scheduler_count, s.scheduler_index, s.zone, s.max_attempts, s.slow_start_sends, s.tick,
         s.answer_slack);
-    Add(s.subscribe_within, s.slow_start_duration, s.slow_start_initial_speed, s.overload_window,
+    Add(s.subscription_timeout, s.slow_start_duration, s.slow_start_initial_speed, s.overload_window,
         s.drain_grace, s.max_retry_after, s.over_quota_weight);
     Add(s.node_price);
   }
   // As the program goes about the events that it starts with.
   void AddNodes(const Config& c) {
-    EndpointList roster(c.zones, c.kinds);
-    Add(c.known.value("no", -1));
-    for (const json& event : c.known.value("items", json::array())) {
+    EndpointList roster(c.zones, c.node_kinds);
+    Add(c.known_list.value("no", -1));
+    for (const json& event : c.known_list.value("items", json::array())) {
       EndpointList::Change change;
       Add(static_cast<int>(roster.Apply(event, EndpointList::GapPolicy::kAccept, &change)), change.full,
           change.version);
-      for (const Complaint& wrong : change.problems) Add(Describe(wrong));
+      for (const ConfigIssue& wrong : change.problems) Add(FormatIssue(wrong));
     }
     for (const ListedNode& node : roster.FullList().nodes) {
       const scheduling::NodeEntry& entry = node.entry;
       Add(node.endpoint, entry.node, static_cast<int>(entry.state), entry.kind, entry.zone, entry.rack);
-      Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal);
+      Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal_capacity);
     }
   }
   std::ostringstream text_;
@@ -153,28 +153,28 @@
 
 TEST_CASE("the kept configuration is read from the file that ROUTER_CONFIG names, each value from its key") {
   const Variable path("ROUTER_CONFIG", DataFile("router_config.json"));
-  const Config c = ConfigFromEnvironment();
+  const Config c = LoadConfigFromEnvironment();
   CHECK(c.name == "manager-3");
   CHECK(AddressText(c.listen) == "127.0.0.1:3868");
-  CHECK(AddressText(c.bulletin) == "127.0.0.3:9092");
+  CHECK(AddressText(c.discovery) == "127.0.0.3:9092");
   REQUIRE(c.admin.has_value());
   CHECK(AddressText(*c.admin) == "127.0.0.2:3869");
   CHECK(c.listen_socket == -1);
   CHECK(c.seed == 0x8c1f30d27a5be964);
-  CHECK(c.sockets == 777);
+  CHECK(c.max_descriptors == 777);
   CHECK(c.dial_timeout == 251'000'000);
   CHECK(c.keepalive == 16'000'000'000);
   CHECK(c.zones == std::vector<std::string>{"hall-a", "hall-b"});
-  CHECK(c.kinds == std::vector<std::string>{"std", "gpu"});
-  CHECK(c.known == Read("router_config.json")["known"]);
-  CHECK(CompareShape(c.shape, Read("router_config.json")).empty());
+  CHECK(c.node_kinds == std::vector<std::string>{"std", "gpu"});
+  CHECK(c.known_list == Read("router_config.json")["known"]);
+  CHECK(FindIncompatibilities(c.required_shape, Read("router_config.json")).empty());
 }
 
 TEST_CASE("the settings of the kept configuration arrive, by class and by tenant") {
   const scheduling::Settings s = ReadConfig(Read("router_config.json")).settings;
   REQUIRE(s.classes.size() == 2);
   CHECK(s.classes[0] == scheduling::ClassSettings{"web api", 700'000'000, 6'000'000'000,
-                                                  RetrySafety::kIdempotent, FailureDomain::kFleet,
+                                                  RetrySafety::kIdempotent, FailureDomain::kCluster,
                                                   5'000'000'000, 1.5, 0.25, 8.5, 0.75, 0.875, 1, 2,
                                                   FailureDomain::kRack, 4});
   CHECK(s.classes[1] == scheduling::ClassSettings{"card", 800'000'000, 7'000'000'000,
@@ -210,7 +210,7 @@
   CHECK(s.slow_start_sends == 3.5);
   CHECK(s.tick == 2'000'000);
   CHECK(s.answer_slack == 11'000'000);
-  CHECK(s.subscribe_within == 12'000'000);
+  CHECK(s.subscription_timeout == 12'000'000);
   CHECK(s.slow_start_duration == 13'000'000);
   CHECK(s.slow_start_initial_speed == 0.625);
   CHECK(s.overload_window == 14'000'000);
@@ -222,9 +222,9 @@
 
 TEST_CASE("the node list of the kept configuration is read, each value from its key") {
   const Config c = ReadConfig(Read("router_config.json"));
-  EndpointList roster(c.zones, c.kinds);
+  EndpointList roster(c.zones, c.node_kinds);
   EndpointList::Change change;
-  REQUIRE(roster.Apply(c.known["items"][0], EndpointList::GapPolicy::kReject, &change) ==
+  REQUIRE(roster.Apply(c.known_list["items"][0], EndpointList::GapPolicy::kReject, &change) ==
           EndpointList::ApplyResult::kApplied);
   CHECK(change.full);
   CHECK(change.version == 17);
@@ -237,7 +237,7 @@
   CHECK(node.entry.zone == 1);
   CHECK(node.entry.kind == 1);
   CHECK(node.entry.rack == 5);
-  CHECK(node.entry.nominal == 0.75);
+  CHECK(node.entry.nominal_capacity == 0.75);
   CHECK(node.entry.started_at == 1'700'000'000'123 * kMs);
   CHECK(node.entry.free_cores == 10.5);
   CHECK(node.entry.free_memory == 100.25);
@@ -259,7 +259,7 @@
   const json config = Read("router_config.json");
   std::set<std::string> taken;
   for (const Pointer& at : KeysOf(config)) {
-    if (CompareShape(config, Renamed(config, at)).empty()) taken.insert(at.to_string());
+    if (FindIncompatibilities(config, Renamed(config, at)).empty()) taken.insert(at.to_string());
   }
   const std::string event = "/known/items/0/roster/", entry = event + "targets/0/";
   const std::set<std::string> optional = {
@@ -303,9 +303,9 @@
     CAPTURE(each.at);
     json changed = config;
     changed[Pointer(each.at)] = each.value;
-    const std::vector<Complaint> complaints = CompareShape(config, changed);
+    const std::vector<ConfigIssue> complaints = FindIncompatibilities(config, changed);
     REQUIRE(complaints.size() == 1);
-    CHECK_MESSAGE(Describe(complaints[0]).starts_with(below + each.complaint), Describe(complaints[0]));
+    CHECK_MESSAGE(FormatIssue(complaints[0]).starts_with(below + each.complaint), FormatIssue(complaints[0]));
   }
 }
 
@@ -321,7 +321,7 @@
       ReadConfig({{"listen", "127.0.0.1:1"}, {"bulletin", "127.0.0.1:2"}, {"settings", json::object()}});
   CHECK(least.name == "willowrail");
   CHECK_FALSE(least.admin.has_value());
-  CHECK(least.sockets == 1024);
+  CHECK(least.max_descriptors == 1024);
   CHECK(least.dial_timeout == 250'000'000);
   CHECK(least.keepalive == 15'000'000'000);
 }
@@ -330,7 +330,7 @@
   const Variable path("ROUTER_CONFIG", DataFile("router_config.json"));
   const Variable name("ROUTER_NAME", "other"), listen("ROUTER_LISTEN", "127.0.0.7:70");
   const Variable admin("ROUTER_ADMIN_ADDR", "127.0.0.8:80"), inherited("ROUTER_LISTEN_FD", "9");
-  const Config c = ConfigFromEnvironment();
+  const Config c = LoadConfigFromEnvironment();
   CHECK(c.name == "other");
   CHECK(AddressText(c.listen) == "127.0.0.7:70");
   REQUIRE(c.admin.has_value());
@@ -363,7 +363,7 @@
                                                                      {"machine", FailureDomain::kNode},
                                                                      {"cell", FailureDomain::kRack},
                                                                      {"zone", FailureDomain::kZone},
-                                                                     {"all", FailureDomain::kFleet}};
+                                                                     {"all", FailureDomain::kCluster}};
   for (const auto& [word, place] : places) {
     config["settings"]["Services"][0]["Group"] = word;
     config["settings"]["FamilyInfo"]["ApartBy"][0] = word;
--- a/tests/compatibility_deploy_test.cpp
+++ b/tests/compatibility_deploy_test.cpp
@@ -68,34 +68,35 @@
 TEST_CASE("the kept sites.json is read with the values in it") {
   const zone_failover::Plan plan = zone_failover::LoadPlan(DataFile("sites.json"), TwoClasses());
   CHECK(plan.version == 1);
-  CHECK(plan.watch.suspect_share == 0.4);
-  CHECK(plan.watch.least == 4);
-  CHECK(plan.watch.window == 2'000 * kMillisecond);
-  CHECK(plan.watch.quiet == 400 * kMillisecond);
-  CHECK(plan.watch.lost_after == 300 * kMillisecond);
-  CHECK(plan.watch.ask_again == 1'000 * kMillisecond);
-  CHECK(plan.watch.asked_at_once == 6);
-  CHECK(plan.watch.come_back == 0.25);
-  CHECK(plan.watch.hold == 500 * kMillisecond);
-  CHECK(plan.watch.hold_most == 16'000 * kMillisecond);
-  CHECK(plan.watch.relapse_within == 30'000 * kMillisecond);
-  CHECK(plan.reserve == 0.1);
-  CHECK(plan.fill_cores == 1.4);
-  CHECK(plan.fill_memory == 1.2);
-  CHECK(plan.tied ==
-        std::vector<zone_failover::Tied>{zone_failover::Tied::kWait, zone_failover::Tied::kWait});
-  CHECK(plan.admission.horizon == 2'000 * kMillisecond);
-  CHECK(plan.admission.calm == 1'000 * kMillisecond);
-  CHECK(plan.admission.margin == 0.9);
+  CHECK(plan.health_monitor.suspect_share == 0.4);
+  CHECK(plan.health_monitor.min_silent_nodes == 4);
+  CHECK(plan.health_monitor.evidence_window == 2'000 * kMillisecond);
+  CHECK(plan.health_monitor.silence_threshold == 400 * kMillisecond);
+  CHECK(plan.health_monitor.confirmation_time == 300 * kMillisecond);
+  CHECK(plan.health_monitor.check_interval == 1'000 * kMillisecond);
+  CHECK(plan.health_monitor.nodes_per_check == 6);
+  CHECK(plan.health_monitor.recovered_share == 0.25);
+  CHECK(plan.health_monitor.recovery_hold == 500 * kMillisecond);
+  CHECK(plan.health_monitor.max_recovery_hold == 16'000 * kMillisecond);
+  CHECK(plan.health_monitor.relapse_window == 30'000 * kMillisecond);
+  CHECK(plan.capacity_reserve == 0.1);
+  CHECK(plan.cores_overcommit == 1.4);
+  CHECK(plan.memory_overcommit == 1.2);
+  CHECK(plan.bound_request_policies ==
+        std::vector<zone_failover::BoundRequestPolicy>{zone_failover::BoundRequestPolicy::kWait,
+                                                       zone_failover::BoundRequestPolicy::kWait});
+  CHECK(plan.admission.planning_horizon == 2'000 * kMillisecond);
+  CHECK(plan.admission.raise_delay == 1'000 * kMillisecond);
+  CHECK(plan.admission.raise_margin == 0.9);
   CHECK(plan.admission.share_step == 0.1);
-  CHECK(plan.comeback.first == 0.5);
-  CHECK(plan.comeback.factor == 2);
-  CHECK(plan.comeback.step == 1'000 * kMillisecond);
-  CHECK(plan.comeback.complete == 8);
-  CHECK(plan.comeback.good == 0.8);
-  CHECK(plan.away_least == 300 * kMillisecond);
-  CHECK(plan.away_most == 3'000 * kMillisecond);
-  CHECK(plan.ranks() == 8);
+  CHECK(plan.recovery_ramp.initial_rate == 0.5);
+  CHECK(plan.recovery_ramp.rate_factor == 2);
+  CHECK(plan.recovery_ramp.step_duration == 1'000 * kMillisecond);
+  CHECK(plan.recovery_ramp.complete_rate == 8);
+  CHECK(plan.recovery_ramp.min_success_share == 0.8);
+  CHECK(plan.min_retry_after == 300 * kMillisecond);
+  CHECK(plan.max_retry_after == 3'000 * kMillisecond);
+  CHECK(plan.rank_count() == 8);
 }
 
 // Each key that a plan may have, with a value that is not the default.
@@ -137,39 +138,40 @@
 
 TEST_CASE("each key that sites.json may have carries its value") {
   const zone_failover::Plan plan = zone_failover::ReadPlan(EverySitesKey(), "sites.json", TwoClasses());
-  CHECK(plan.watch.suspect_share == 0.5);
-  CHECK(plan.watch.least == 3);
-  CHECK(plan.watch.window == 2'001 * kMillisecond);
-  CHECK(plan.watch.quiet == 401 * kMillisecond);
-  CHECK(plan.watch.lost_after == 301 * kMillisecond);
-  CHECK(plan.watch.ask_again == 1'001 * kMillisecond);
-  CHECK(plan.watch.asked_at_once == 7);
-  CHECK(plan.watch.come_back == 0.375);
-  CHECK(plan.watch.hold == 501 * kMillisecond);
-  CHECK(plan.watch.hold_most == 16'001 * kMillisecond);
-  CHECK(plan.watch.relapse_within == 30'001 * kMillisecond);
-  CHECK(plan.reserve == 0.25);
-  CHECK(plan.fill_cores == 1.5);
-  CHECK(plan.fill_memory == 1.25);
-  CHECK(plan.tied ==
-        std::vector<zone_failover::Tied>{zone_failover::Tied::kRefuse, zone_failover::Tied::kWait});
-  CHECK(plan.admission.horizon == 2'002 * kMillisecond);
-  CHECK(plan.admission.calm == 1'002 * kMillisecond);
-  CHECK(plan.admission.margin == 0.75);
+  CHECK(plan.health_monitor.suspect_share == 0.5);
+  CHECK(plan.health_monitor.min_silent_nodes == 3);
+  CHECK(plan.health_monitor.evidence_window == 2'001 * kMillisecond);
+  CHECK(plan.health_monitor.silence_threshold == 401 * kMillisecond);
+  CHECK(plan.health_monitor.confirmation_time == 301 * kMillisecond);
+  CHECK(plan.health_monitor.check_interval == 1'001 * kMillisecond);
+  CHECK(plan.health_monitor.nodes_per_check == 7);
+  CHECK(plan.health_monitor.recovered_share == 0.375);
+  CHECK(plan.health_monitor.recovery_hold == 501 * kMillisecond);
+  CHECK(plan.health_monitor.max_recovery_hold == 16'001 * kMillisecond);
+  CHECK(plan.health_monitor.relapse_window == 30'001 * kMillisecond);
+  CHECK(plan.capacity_reserve == 0.25);
+  CHECK(plan.cores_overcommit == 1.5);
+  CHECK(plan.memory_overcommit == 1.25);
+  CHECK(plan.bound_request_policies ==
+        std::vector<zone_failover::BoundRequestPolicy>{zone_failover::BoundRequestPolicy::kReject,
+                                                       zone_failover::BoundRequestPolicy::kWait});
+  CHECK(plan.admission.planning_horizon == 2'002 * kMillisecond);
+  CHECK(plan.admission.raise_delay == 1'002 * kMillisecond);
+  CHECK(plan.admission.raise_margin == 0.75);
   CHECK(plan.admission.share_step == 0.125);
-  REQUIRE(plan.ranks() == 2);
-  CHECK(plan.order[0].class_index == 0);
-  CHECK(plan.order[0].over_share == 0);
-  CHECK(plan.order[0].retry == 1);
-  CHECK(plan.order[0].large == 1);
-  CHECK(plan.order[1].class_index == zone_failover::RankRule::kAny);
-  CHECK(plan.comeback.first == 0.75);
-  CHECK(plan.comeback.factor == 3);
-  CHECK(plan.comeback.step == 1'003 * kMillisecond);
-  CHECK(plan.comeback.complete == 9);
-  CHECK(plan.comeback.good == 0.5);
-  CHECK(plan.away_least == 302 * kMillisecond);
-  CHECK(plan.away_most == 3'002 * kMillisecond);
+  REQUIRE(plan.rank_count() == 2);
+  CHECK(plan.rank_rules[0].class_index == 0);
+  CHECK(plan.rank_rules[0].over_share == 0);
+  CHECK(plan.rank_rules[0].retry == 1);
+  CHECK(plan.rank_rules[0].large == 1);
+  CHECK(plan.rank_rules[1].class_index == zone_failover::RankRule::kAny);
+  CHECK(plan.recovery_ramp.initial_rate == 0.75);
+  CHECK(plan.recovery_ramp.rate_factor == 3);
+  CHECK(plan.recovery_ramp.step_duration == 1'003 * kMillisecond);
+  CHECK(plan.recovery_ramp.complete_rate == 9);
+  CHECK(plan.recovery_ramp.min_success_share == 0.5);
+  CHECK(plan.min_retry_after == 302 * kMillisecond);
+  CHECK(plan.max_retry_after == 3'002 * kMillisecond);
 }
 
 TEST_CASE("a key of sites.json that is changed by one letter is refused") {
@@ -278,32 +280,33 @@
   CHECK(team.name == "payments");
   CHECK(team.cap == 12'000 * spending::kUnit);
   CHECK(team.quantile_ppm == 900'000);
-  CHECK(team.zone.OffsetAt(*spending::InstantNamed("2026-01-15T00:00:00Z")) == 3600);
-  CHECK(team.zone.OffsetAt(*spending::InstantNamed("2026-07-15T00:00:00Z")) == 7200);
+  CHECK(team.time_zone.OffsetAt(*spending::ParseInstant("2026-01-15T00:00:00Z")) == 3600);
+  CHECK(team.time_zone.OffsetAt(*spending::ParseInstant("2026-07-15T00:00:00Z")) == 7200);
   REQUIRE(team.steps.size() == 2);
   CHECK(team.steps[0].notice == 750'000);
-  CHECK(team.steps[0].no_more == 900'000);
-  CHECK(team.steps[0].hard == 1'000'000);
+  CHECK(team.steps[0].no_new_tasks == 900'000);
+  CHECK(team.steps[0].hard_stop == 1'000'000);
   CHECK(team.steps[1].notice == 900'000);
-  CHECK(team.steps[1].no_more == 1'000'000);
-  CHECK(team.steps[1].hard == 1'050'000);
-  CHECK(plan.claims == std::map<std::pair<std::string, std::string>, int>{{{"", "payments"}, 0}});
-  CHECK(plan.unknown_runs == 3600 * kSecondLong);
-  CHECK(plan.lost_kept == 600 * kSecondLong);
-  CHECK(plan.ask_kept == 30 * kSecondLong);
-  CHECK(plan.draw_again == 1'000 * kMillisecond);
-  CHECK(plan.ledger_silent == 10'000 * kMillisecond);
+  CHECK(team.steps[1].no_new_tasks == 1'000'000);
+  CHECK(team.steps[1].hard_stop == 1'050'000);
+  CHECK(plan.team_by_task == std::map<std::pair<std::string, std::string>, int>{{{"", "payments"}, 0}});
+  CHECK(plan.default_remaining == 3600 * kSecondLong);
+  CHECK(plan.lost_task_retention == 600 * kSecondLong);
+  CHECK(plan.reservation_timeout == 30 * kSecondLong);
+  CHECK(plan.draw_retry_interval == 1'000 * kMillisecond);
+  CHECK(plan.ledger_timeout == 10'000 * kMillisecond);
 }
 
 // What an hour of the size costs from the instant on, in micro-units.
-spending::Money HourFrom(const spending::Plan& plan, const spending::Size& size, const std::string& instant) {
-  const spending::Seconds from = *spending::InstantNamed(instant);
-  return spending::Tariffs::RoundedUp(plan.tariffs.Parts(size, 0, from, from + 3600));
+spending::Money HourFrom(const spending::Plan& plan, const spending::TaskSize& size,
+                         const std::string& instant) {
+  const spending::Seconds from = *spending::ParseInstant(instant);
+  return spending::Tariffs::RoundUp(plan.tariffs.CostParts(size, 0, from, from + 3600));
 }
 
 TEST_CASE("the tariffs of the kept spending.json price a core, a GiB and a worker by date") {
   const spending::Plan plan = spending::LoadPlan(DataFile("spending.json"), Payments());
-  const spending::Size nothing, core{1000, 0}, gib{0, 1024};
+  const spending::TaskSize nothing, core{1000, 0}, gib{0, 1024};
   CHECK(HourFrom(plan, nothing, "2026-02-01T00:00:00Z") == 1'000);
   CHECK(HourFrom(plan, core, "2026-02-01T00:00:00Z") == 43'000);
   CHECK(HourFrom(plan, gib, "2026-02-01T00:00:00Z") == 6'500);
@@ -321,21 +324,21 @@
                        {"ask_kept_s", 31},
                        {"draw_again_ms", 1001},
                        {"ledger_silent_ms", 10'001}};
-  const spending::Plan plan = spending::ReadPlan(document, "spending.json", Payments());
+  const spending::Plan plan = spending::ParsePlan(document, "spending.json", Payments());
   CHECK(plan.teams[0].quantile_ppm == 750'000);
-  CHECK(plan.TeamOf("shop one", "other") == 0);
-  CHECK(plan.unknown_runs == 3601 * kSecondLong);
-  CHECK(plan.lost_kept == 601 * kSecondLong);
-  CHECK(plan.ask_kept == 31 * kSecondLong);
-  CHECK(plan.draw_again == 1'001 * kMillisecond);
-  CHECK(plan.ledger_silent == 10'001 * kMillisecond);
+  CHECK(plan.FindTeam("shop one", "other") == 0);
+  CHECK(plan.default_remaining == 3601 * kSecondLong);
+  CHECK(plan.lost_task_retention == 601 * kSecondLong);
+  CHECK(plan.reservation_timeout == 31 * kSecondLong);
+  CHECK(plan.draw_retry_interval == 1'001 * kMillisecond);
+  CHECK(plan.ledger_timeout == 10'001 * kMillisecond);
 }
 
 TEST_CASE("a key of spending.json that is changed by one letter is refused") {
   json document = Read("spending.json");
   document["teams"][0]["members"].push_back({{"tenant", "shop one"}});
   CheckRenamedKeysRefused(
-      document, [](const json& changed) { spending::ReadPlan(changed, "spending.json", Payments()); });
+      document, [](const json& changed) { spending::ParsePlan(changed, "spending.json", Payments()); });
 }
 
 }  // namespace
--- a/tests/compatibility_operators_test.cpp
+++ b/tests/compatibility_operators_test.cpp
@@ -33,10 +33,10 @@
   Wire owner = Owner();
   Ask(&owner, kTask, "safe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   CHECK(FiguresOf(program.admin_port())["open_requests"] == 1);
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   const json metrics = FiguresOf(program.admin_port());
   CHECK(TypesOf(metrics) == MetricsWith({{"safe", "number"}, {"keyed", "number"}, {"unsafe", "number"}}));
   CHECK(metrics["relayed"] == 1);
--- a/tests/compatibility_samples.h
+++ b/tests/compatibility_samples.h
@@ -8,7 +8,7 @@
 #include "consensus/message.h"
 #include "handover/handover.h"
 #include "node_suspension/node_suspensions.h"
-#include "spending_world.h"
+#include "spending_fixtures.h"
 #include "store/store.h"
 
 namespace cluster_manager::compatibility {
@@ -46,10 +46,10 @@
 
 inline store::Batch SampleBatch() {
   store::Batch batch;
-  batch.state = store::State{0x1122334455667788, 0x99aabbccddeeff00, 12, 0x1122334455667788};
+  batch.state = store::PersistentState{0x1122334455667788, 0x99aabbccddeeff00, 12, 0x1122334455667788};
   batch.snapshot = store::Snapshot{40, 11, {1, 2, 3}, {4, 5, 6, 7}};
-  batch.whole = true;
-  batch.first = 41;
+  batch.remove_all_entries = true;
+  batch.first_index = 41;
   batch.entries = {{11, 0, {}}, {12, 1, {0, 255, 128}}, {12, 2, {9}}};
   batch.named = {{"floors", {10, 20, 30}}, {"spending", {0}}};
   return batch;
@@ -63,7 +63,7 @@
 
 inline consensus::Message SampleMessage() {
   consensus::Message message;
-  message.kind = consensus::MessageKind::kSnapshot;
+  message.kind = consensus::MessageKind::kInstallSnapshot;
   message.cluster = 0x99aabbccddeeff00;
   message.from_identity = 0x1122334455667788;
   message.to_identity = 77;
@@ -72,9 +72,9 @@
   message.term = 12;
   message.index = 43;
   message.log_term = 11;
-  message.commit = 42;
+  message.commit_index = 42;
   message.round = 300;
-  message.entries = {{11, consensus::EntryKind::kNothing, {}},
+  message.entries = {{11, consensus::EntryKind::kNoOp, {}},
                      {12, consensus::EntryKind::kCommand, {0, 255, 128}},
                      {12, consensus::EntryKind::kMembers, consensus::EncodeMembers(SampleMembers())}};
   message.members = SampleMembers();
@@ -158,22 +158,22 @@
 // back.
 inline nlohmann::json SampleBooks() {
   using spending::kSecond;
-  spending::Alone alone;
-  alone.Look();
-  alone.Run(spending::Worker(1, 0, 2), 600);
-  alone.Run(spending::Worker(2, 1, 3), 7200);
-  alone.Run(spending::Worker(3, 0, 1), 7200);
-  alone.Run(spending::Worker(4, 1, 1), 7200);
-  alone.Look(600 * kSecond);
-  alone.room.Over(1, alone.now - 5 * kSecond, alone.now);
-  alone.room.Lost(3, alone.now, alone.now);
-  alone.room.Changed(4, 0, {2000, 0}, 1, alone.now);
-  alone.told.runs[5] = 3600;
-  alone.Add(spending::Worker(5, 0, 1));
-  alone.room.MayAdd(spending::Worker(6, 0, 40), alone.now);
-  alone.room.HandedAway(2, alone.now, alone.now);
-  alone.room.Look(alone.now + kSecond);
-  return alone.room.Snapshot();
+  spending::SingleMember alone;
+  alone.Evaluate();
+  alone.AdmitAndStart(spending::NewTask(1, 0, 2), 600);
+  alone.AdmitAndStart(spending::NewTask(2, 1, 3), 7200);
+  alone.AdmitAndStart(spending::NewTask(3, 0, 1), 7200);
+  alone.AdmitAndStart(spending::NewTask(4, 1, 1), 7200);
+  alone.Evaluate(600 * kSecond);
+  alone.controller.OnTaskEnded(1, alone.now - 5 * kSecond, alone.now);
+  alone.controller.OnTaskLost(3, alone.now, alone.now);
+  alone.controller.OnTaskChanged(4, 0, {2000, 0}, 1, alone.now);
+  alone.estimator.run_seconds[5] = 3600;
+  alone.Admit(spending::NewTask(5, 0, 1));
+  alone.controller.Admit(spending::NewTask(6, 0, 40), alone.now);
+  alone.controller.OnTaskHandedOver(2, alone.now, alone.now);
+  alone.controller.Evaluate(alone.now + kSecond);
+  return alone.controller.Snapshot();
 }
 
 }  // namespace cluster_manager::compatibility
--- a/tests/compatibility_shared_names_test.cpp
+++ b/tests/compatibility_shared_names_test.cpp
@@ -52,9 +52,9 @@
   Wire client = Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "here");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   Program& new_process = Start();
   old_process.Signal(SIGTERM);
   CHECK(client.Closed());
--- a/tests/compatibility_stored_test.cpp
+++ b/tests/compatibility_stored_test.cpp
@@ -124,9 +124,9 @@
   std::string fault;
   const auto kept = store::Store::Open(folder.Copy("store.sqlite"), {}, &fault);
   REQUIRE_MESSAGE(kept != nullptr, fault);
-  const store::Content content = kept->TakeContent();
+  const store::Content content = kept->ReleaseContent();
   const store::Batch batch = SampleBatch();
-  CHECK_FALSE(content.fresh);
+  CHECK_FALSE(content.created);
   CHECK(content.state == *batch.state);
   CHECK(content.snapshot == *batch.snapshot);
   CHECK(content.entries == batch.entries);
@@ -177,8 +177,8 @@
 
 TEST_CASE("kept bytes of a message between members are read as that message, and written again the same") {
   const consensus::Bytes bytes = KeptOctets("agreement_message.cbor");
-  CHECK(consensus::Decode(bytes, {}) == SampleMessage());
-  CHECK(consensus::Encode(SampleMessage()) == bytes);
+  CHECK(consensus::DecodeMessage(bytes, {}) == SampleMessage());
+  CHECK(consensus::EncodeMessage(SampleMessage()) == bytes);
 }
 
 TEST_CASE("kept bytes of the members, as the store has them, are read and written again the same") {
@@ -190,13 +190,14 @@
 TEST_CASE("the kinds of entries and messages between members have their numbers") {
   using consensus::EntryKind;
   using consensus::MessageKind;
-  CHECK(static_cast<int>(EntryKind::kNothing) == 0);
+  CHECK(static_cast<int>(EntryKind::kNoOp) == 0);
   CHECK(static_cast<int>(EntryKind::kCommand) == 1);
   CHECK(static_cast<int>(EntryKind::kMembers) == 2);
   const std::vector<MessageKind> in_order = {
-      MessageKind::kAskFirst, MessageKind::kAskFirstYes, MessageKind::kAskFirstNo, MessageKind::kAsk,
-      MessageKind::kAskYes,   MessageKind::kAskNo,       MessageKind::kAppend,     MessageKind::kHave,
-      MessageKind::kMismatch, MessageKind::kSnapshot,    MessageKind::kHello,      MessageKind::kWhere};
+      MessageKind::kPreVote,         MessageKind::kPreVoteGranted, MessageKind::kPreVoteRejected,
+      MessageKind::kRequestVote,     MessageKind::kVoteGranted,    MessageKind::kVoteRejected,
+      MessageKind::kAppendEntries,   MessageKind::kAppendAccepted, MessageKind::kAppendRejected,
+      MessageKind::kInstallSnapshot, MessageKind::kJoinRequest,    MessageKind::kLeaderHint};
   for (std::size_t i = 0; i < in_order.size(); ++i) CHECK(static_cast<std::size_t>(in_order[i]) == i);
 }
 
@@ -274,19 +275,20 @@
 TEST_CASE("kept books of spending are taken up, and written again with the same bytes") {
   const std::string kept = Kept("spending_books.json");
   CHECK(Line(SampleBooks()) == kept);
-  const spending::Deployment deployment = spending::Five(1);
-  spending::Spending books(spending::ReadPlan(spending::File(), "f", deployment), deployment, nullptr);
+  const spending::Deployment deployment = spending::TestDeployment(1);
+  spending::SpendingController books(spending::ParsePlan(spending::TestPlan(), "f", deployment), deployment,
+                                     nullptr);
   books.Restore(json::parse(kept));
   CHECK(Line(books.Snapshot()) == kept);
-  const spending::Account* account = books.AccountOf(0, books.MonthNow(0));
+  const spending::Account* account = books.FindAccount(0, books.CurrentMonth(0));
   REQUIRE(account != nullptr);
   const json document = json::parse(kept), month = document["teams"][0]["accounts"][0];
-  CHECK(spending::MonthName(books.MonthNow(0)) == month["month"]);
+  CHECK(spending::FormatMonth(books.CurrentMonth(0)) == month["month"]);
   CHECK(account->cap() == month["cap"]);
   CHECK(account->epoch() == month["epoch"]);
-  CHECK(account->pool().out == month["pool"][0]);
-  CHECK(books.GiveBack().size() == document["returns"].size());
-  CHECK(books.GiveBack().at(1).amount == document["returns"][0]["amount"]);
+  CHECK(account->pool().drawn == month["pool"][0]);
+  CHECK(books.PendingReturns().size() == document["returns"].size());
+  CHECK(books.PendingReturns().at(1).amount == document["returns"][0]["amount"]);
 }
 
 }  // namespace
--- a/tests/config_shape_test.cpp
+++ b/tests/config_shape_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/shape.h"
+#include "config/config_validation.h"
 
 namespace cluster_manager {
 namespace {
@@ -54,7 +54,8 @@
   try {
     const json fresh = ParseConfig(text, "config.json");
     std::string all;
-    for (const Complaint& complaint : CompareShape(first, fresh)) all += Describe(complaint) + "\n";
+    for (const ConfigIssue& complaint : FindIncompatibilities(first, fresh))
+      all += FormatIssue(complaint) + "\n";
     if (all.empty()) ReadConfig(fresh);
     return all;
   } catch (const std::exception& error) {
@@ -151,7 +152,7 @@
   }
   json fresh = Valid();
   fresh["settings"]["Services"][0]["Deadline"] = std::numeric_limits<double>::quiet_NaN();
-  CHECK(CompareShape(Valid(), fresh).size() == 1);
+  CHECK(FindIncompatibilities(Valid(), fresh).size() == 1);
   CHECK(With("/settings/Services/2/Deadline", "soon") ==
         "settings.Services[2].Deadline: \"soon\"; write a number of nanoseconds above 0\n");
   CHECK(Has(With("/settings/Allowed/MostTries", 1.5), "write a whole number of attempts above 0"));
@@ -246,9 +247,9 @@
   const std::string deep(100'000, '['), in_string = "\"\\\"" + std::string(100, '[') + "\"";
   CHECK(Has(Refusal(deep), "config.json: lists and objects lie deeper"));
   CHECK(Has(Refusal("{\"settings\": " + deep), "config.json: lists and objects lie deeper"));
-  CHECK_FALSE(IsTooDeep(Valid().dump()));
-  CHECK_FALSE(IsTooDeep(in_string));
-  CHECK_FALSE(IsTooDeep(std::string(64, '[') + std::string(64, ']') + "[]"));
+  CHECK_FALSE(ExceedsMaxDepth(Valid().dump()));
+  CHECK_FALSE(ExceedsMaxDepth(in_string));
+  CHECK_FALSE(ExceedsMaxDepth(std::string(64, '[') + std::string(64, ']') + "[]"));
 }
 
 TEST_CASE("a file with other values, other classes and unknown keys is taken") {
@@ -266,7 +267,7 @@
   CHECK(Refusal(fresh.dump()) == "");
   settings["Services"].erase(0);
   CHECK(Refusal(fresh.dump()) == "");
-  CHECK(CompareShape(Valid(), Valid()).empty());
+  CHECK(FindIncompatibilities(Valid(), Valid()).empty());
 }
 
 TEST_CASE("where a list has fewer entries than there are classes, its last serves for the rest") {
--- a/tests/crossing_attempts_test.cpp
+++ b/tests/crossing_attempts_test.cpp
@@ -32,21 +32,22 @@
   TellRoomAtFirstUntil([&] { return Count("node_dials") == 3; });  // the second attempt waits for that one
   SUBCASE("the refusal again") { RefuseForCores(&busy, kTask); }
   SUBCASE("an answer") { busy.Answer(kTask, "late"); }
-  SUBCASE("a reset of the set-up") { busy.Say(Type::kRelease, kTask, Cause::kReset); }
-  busy.Say(Type::kNote, kOther, [](protocol::Writer& w) { w.Add(Code::kNote, std::string_view("up")); });
+  SUBCASE("a reset of the set-up") { busy.Say(Type::kRelease, kTask, Cause::kAborted); }
+  busy.Say(Type::kTaskReport, kOther,
+           [](protocol::Writer& w) { w.Add(Code::kDetail, std::string_view("up")); });
   program->Counted("node_task_reports", 1);
   client.NothingElse();
   TellAndWait(json::array({Second(9)}));
   first.Unclog();
   Wire& again = at_first.Accept();
-  CHECK(again.Hear(Type::kSetUp, kTask).type == Type::kSetUp);
+  CHECK(again.Hear(Type::kTaskRequest, kTask).type == Type::kTaskRequest);
   program->Counted("attempts_sent", 3);
   at_second.Read();
   CHECK(at_second.SetUps(kTask) == 0);
   again.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   busy.Answer(kOther, "there");
-  client.Hear(Type::kAnswer, kOther);
+  client.Hear(Type::kTaskAccepted, kOther);
 }
 
 // Must: the same while the request is held and no attempt is out.
@@ -62,9 +63,9 @@
   program->Counted("node_replies_unmatched", 1);
   client.NothingElse();
   TellRoomAtFirstUntil([&] { return Count("attempts_sent") == 2; });
-  CHECK(line.Hear(Type::kSetUp, kTask).type == Type::kSetUp);
+  CHECK(line.Hear(Type::kTaskRequest, kTask).type == Type::kTaskRequest);
   line.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   CHECK(at_second.SetUps(kTask) == 0);
 }
 
@@ -89,7 +90,7 @@
   program->Counted("node_replies_unmatched", 1);
   CHECK(Out(kTask) == 2);  // the first was refused, the second is out
   next.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   program->Counted("attempts_sent", 2);
 }
 
@@ -104,7 +105,7 @@
   program->Counted("attempts_no_connection", 1);
   first.Unclog();
   next.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   Fence();
   CHECK(at_first.SetUps(kTask) == 0);
 }
@@ -129,7 +130,7 @@
   first.Unclog();
   program->Resume();
   at_second.AwaitSetUp(kTask).Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   Fence();
   CHECK(at_first.SetUps(kTask) == 0);
 }
@@ -145,7 +146,7 @@
   const auto told = std::chrono::steady_clock::now();
   at_second.AwaitSetUp(kTask).Answer(kTask, "there");
   CHECK(std::chrono::steady_clock::now() - told < std::chrono::seconds(2));
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 // Must: a request gets one answer and no more attempts than the settings allow when one begins; one that may
@@ -174,7 +175,7 @@
     Wire& line = at_first.AwaitSetUp(kTask);
     config["settings"]["Services"][2]["Effect"] = "pure";
     reload();
-    line.Say(Type::kRelease, kTask, Cause::kReset);
+    line.Say(Type::kRelease, kTask, Cause::kAborted);
     CHECK(client.Hear(Type::kRelease, kTask).cause == 41);
     at_second.Read();
     CHECK(at_second.SetUps(kTask) == 0);
@@ -197,14 +198,14 @@
     return its;
   }();
   if (passed) std::this_thread::sleep_for(std::chrono::milliseconds(320));  // the window is the time itself
-  line.Say(Type::kRelease, kTask, Cause::kReset);
+  line.Say(Type::kRelease, kTask, Cause::kAborted);
   if (passed) {
     CHECK(client.Hear(Type::kRelease, kTask).cause == 41);
     at_second.Read();
     CHECK(at_second.SetUps(kTask) == 0);
   } else {
     at_second.AwaitSetUp(kTask).Answer(kTask, "there");
-    CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+    CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   }
 }
 
@@ -227,18 +228,18 @@
   StartWith(10, 5);
   Wire client = program->Owner();
   std::string set_up, answer;
-  protocol::Writer(&set_up, Type::kSetUp, kTask)
+  protocol::Writer(&set_up, Type::kTaskRequest, kTask)
       .Add(Code::kClass, std::string_view("unsafe"))
-      .Add(Code::kWait, std::string_view("25000"))
+      .Add(Code::kTimeoutMs, std::string_view("25000"))
       .Add(Code::kTenant, std::string_view("shop one"))
       .Add(Code::kName, std::string_view("0b5e"))
-      .Add(Code::kFigures, std::string_view("cores:1;memory:2;service:0b"))
+      .Add(Code::kResources, std::string_view("cores:1;memory:2;service:0b"))
       .Add(Code::kDescription, std::string_view("run this"));
   SayByteByByte(&*program, &client, set_up);
   Wire& line = at_first.AwaitSetUp(kTask);
-  protocol::Writer(&answer, Type::kAnswer, kTask).Add(Code::kDescription, std::string_view("up"));
+  protocol::Writer(&answer, Type::kTaskAccepted, kTask).Add(Code::kDescription, std::string_view("up"));
   SayByteByByte(&*program, &line, answer);
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "up");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "up");
   program->Counted("attempts_sent", 1);
 }
 
--- a/tests/crossing_client_close_test.cpp
+++ b/tests/crossing_client_close_test.cpp
@@ -12,9 +12,9 @@
 
 std::string SetUpBytes(TaskId task, const std::string& class_name = "unsafe") {
   std::string bytes;
-  protocol::Writer w(&bytes, Type::kSetUp, task);
-  w.Add(Code::kClass, class_name).Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-  w.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+  protocol::Writer w(&bytes, Type::kTaskRequest, task);
+  w.Add(Code::kClass, class_name).Add(Code::kTimeoutMs, "25000").Add(Code::kTenant, "shop one");
+  w.Add(Code::kName, "0b5e").Add(Code::kResources, "cores:1;memory:2;service:0b");
   w.Add(Code::kDescription, "run");
   return bytes;
 }
@@ -37,9 +37,9 @@
   program->Signal(SIGCONT);
   if (sent < bytes.size()) owner.Raw(bytes.substr(sent));
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "who says nothing of use, as often as it may, is closed within 3 s of connecting") {
@@ -62,7 +62,8 @@
   // More answers than the machine takes: the program stops to read, in the middle of a message as a rule.
   constexpr TaskId kMany = 500'000;
   std::string tests;
-  for (TaskId i = 1; i <= kMany; ++i) protocol::Writer(&tests, Type::kTest, i).Add(Cause::kTestFailed);
+  for (TaskId i = 1; i <= kMany; ++i)
+    protocol::Writer(&tests, Type::kHealthCheck, i).Add(Cause::kHealthCheckFailed);
   owner.Raw(tests);
   std::this_thread::sleep_for(milliseconds(3000));  // longer than a message may take, with a look and a close
   for (TaskId i = 1; i <= kMany; ++i) REQUIRE(owner.Hear().task == i);
@@ -76,10 +77,10 @@
     there.back().NothingElse();
   }
   program->Signal(SIGSTOP);
-  for (Wire& owner : there) owner.Say(Type::kTest, kTask, Cause::kTestFailed);
+  for (Wire& owner : there) owner.Say(Type::kHealthCheck, kTask, Cause::kHealthCheckFailed);
   for (int i = 0; i < 64; ++i) flood.push_back(program->Owner());
   program->Signal(SIGCONT);
-  for (Wire& owner : there) owner.Hear(Type::kTestResult, kTask);
+  for (Wire& owner : there) owner.Hear(Type::kHealthCheckResult, kTask);
   program->Counted("client_connections", 24 + 64);
   program->Signal(SIGUSR1);
   const int asked = std::stoi(program->Logged("call ioctl "));
@@ -102,9 +103,9 @@
   }
   owner.Raw(bytes.substr(20));
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   CHECK(others.front().Closed());
 }
 
@@ -116,7 +117,7 @@
   Wire running = program.Owner();
   Ask(&running, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   std::vector<Wire> idle;
   for (int i = 0; i < 100; ++i) {
     idle.push_back(program.Owner());
@@ -124,12 +125,12 @@
   }
   CHECK(Get(program.admin_port(), "/v1/readyz").yes());
   agent.Answer(kTask, "here");
-  CHECK(running.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(running.Hear(Type::kTaskAccepted, kTask).description == "here");
   Wire owner = program.Owner();
   Ask(&owner, kOther, "unsafe");
-  agent.Hear(Type::kSetUp, kOther);
+  agent.Hear(Type::kTaskRequest, kOther);
   agent.Answer(kOther, "there");
-  CHECK(owner.Hear(Type::kAnswer, kOther).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kOther).description == "there");
   bulletin.Open();  // and the list is read as soon as it is there
   CHECK(bulletin.Accept().Bytes().starts_with("GET /bulletins"));
 }
@@ -139,7 +140,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   SUBCASE("FIN") { owner.Close(); }
   SUBCASE("RST") { owner.Reset(); }
   SUBCASE("FIN in the turn of a release of its own") {
@@ -162,7 +163,7 @@
   REQUIRE(::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   REQUIRE(::shutdown(socket, SHUT_WR) == 0);
   CHECK(agent.Hear(Type::kRelease, kTask).cause == 16);
   CHECK(owner.Closed());
@@ -173,18 +174,18 @@
   Wire owner = program->Owner(), other = program->Owner();
   Ask(&owner, 1, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, 1);
+  agent.Hear(Type::kTaskRequest, 1);
   Ask(&owner, 2, "unsafe");
   Wire second_line = first.Accept();
-  second_line.Hear(Type::kSetUp, 2);
+  second_line.Hear(Type::kTaskRequest, 2);
   Ask(&other, 3, "unsafe");
   Wire third_line = first.Accept();
-  third_line.Hear(Type::kSetUp, 3);
+  third_line.Hear(Type::kTaskRequest, 3);
   owner.Reset();
   CHECK(agent.Hear(Type::kRelease, 1).cause == 16);
   CHECK(second_line.Hear(Type::kRelease, 2).cause == 16);
   third_line.Answer(3, "there");
-  CHECK(other.Hear(Type::kAnswer, 3).description == "there");
+  CHECK(other.Hear(Type::kTaskAccepted, 3).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "an owner that leaves in the turn of its answer: the task stands or is given up") {
@@ -192,11 +193,11 @@
   Wire owner = program->Owner(), other = program->Owner();
   Ask(&other, kOther, "unsafe");
   Wire line = first.Accept();
-  line.Hear(Type::kSetUp, kOther);
+  line.Hear(Type::kTaskRequest, kOther);
   line.Answer(kOther, "there");
-  other.Hear(Type::kAnswer, kOther);
+  other.Hear(Type::kTaskAccepted, kOther);
   Ask(&owner, kTask, "unsafe");
-  line.Hear(Type::kSetUp, kTask);
+  line.Hear(Type::kTaskRequest, kTask);
   program->Signal(SIGSTOP);
   SUBCASE("FIN") { owner.Close(); }
   SUBCASE("RST") { owner.Reset(); }
--- a/tests/crossing_client_gone_test.cpp
+++ b/tests/crossing_client_gone_test.cpp
@@ -193,7 +193,7 @@
         RefuseForCores(&one, kTask);
       });
   at_second.AwaitSetUp(kFourth).Answer(kFourth, "there");
-  CHECK(client.Hear(Type::kAnswer, kFourth).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kFourth).description == "there");
   Fence();
   CHECK(at_second.SetUps(kTask) == 0);
 }
@@ -245,7 +245,8 @@
   client->Narrow();
   std::string tests;
   constexpr int kTests = 2'000;
-  for (int i = 0; i < kTests; ++i) protocol::Writer(&tests, Type::kTest, 1).Add(Cause::kTestFailed);
+  for (int i = 0; i < kTests; ++i)
+    protocol::Writer(&tests, Type::kHealthCheck, 1).Add(Cause::kHealthCheckFailed);
   const auto answered = [&] {
     program->Signal(SIGUSR1);
     return std::stoi(program->Logged("counter client_health_checks_answered "));
@@ -314,7 +315,7 @@
   Ask(&client, kTask, "unsafe");
   Wire& node = at_first.AwaitSetUp(kTask);
   node.Answer(kTask, "there");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   Leaving way = Leaving::kClose;
   SUBCASE("nothing waits to be written there") { way = EachEnd(); }
   SUBCASE("bytes wait to be written there") {
--- a/tests/crossing_cold_test.cpp
+++ b/tests/crossing_cold_test.cpp
@@ -62,9 +62,10 @@
     }
     protocol::Message message;
     std::size_t size = 0;
-    while (protocol::Decode(line->unread, &message, &size) == protocol::Step::kMessage) {
-      if (message.type == Type::kTest) line->wire.Say(Type::kTestResult, message.task, Cause::kTestPassed);
-      if (message.type == Type::kSetUp) {
+    while (protocol::Decode(line->unread, &message, &size) == protocol::DecodeStatus::kMessage) {
+      if (message.type == Type::kHealthCheck)
+        line->wire.Say(Type::kHealthCheckResult, message.task, Cause::kHealthCheckPassed);
+      if (message.type == Type::kTaskRequest) {
         ++sent_;
         line->wire.Answer(message.task, "up");
         line->wire.Say(Type::kRelease, message.task, Cause::kEnded);
@@ -116,7 +117,7 @@
     for (Wire& owner : owners) {
       for (int i = 0; i < kTasks; ++i) Ask(&owner, ++last_task, "unsafe");
       const TaskId mark = 0xfeedULL << 32;
-      owner.Say(Type::kTest, mark, Cause::kTestFailed);
+      owner.Say(Type::kHealthCheck, mark, Cause::kHealthCheckFailed);
       while (Hear(&owner).task != mark) {
       }
     }
@@ -134,7 +135,7 @@
     if (now < keep_again_at) return;
     keep_again_at = now + std::chrono::seconds(1);
     constexpr TaskId kHealthCheck = 0xfeedULL << 40;
-    for (Wire& owner : owners) owner.Say(Type::kTest, kHealthCheck, Cause::kTestFailed);
+    for (Wire& owner : owners) owner.Say(Type::kHealthCheck, kHealthCheck, Cause::kHealthCheckFailed);
   }
   template <typename Done>
   void ServeUntil(Done done) {
--- a/tests/crossing_completion_test.cpp
+++ b/tests/crossing_completion_test.cpp
@@ -23,7 +23,7 @@
   void Serve(Wire* client, TaskId task) {
     Ask(client, task, "unsafe");
     at_first.AwaitSetUp(task).Answer(task, "there");
-    CHECK(client->Hear(Type::kAnswer, task).description == "there");
+    CHECK(client->Hear(Type::kTaskAccepted, task).description == "there");
   }
   void SendCompletion() {
     StartWith(10, 0.1);
@@ -45,7 +45,7 @@
   silent->Reset();
   program->Resume();
   CHECK(other->Hear(Type::kRelease, kTask).cause == 16);
-  other->Say(Type::kReleaseHeard, kTask);
+  other->Say(Type::kReleaseConfirmed, kTask);
   program->Counted("owed_ends", 0, "size ");
   CHECK(program->Statistic("completions_resent") == "1");
 }
@@ -64,7 +64,7 @@
   silent->Reset();
   program->Resume();
   CHECK(other->Hear(Type::kRelease, kTask).cause == 16);
-  other->Say(Type::kReleaseHeard, kTask);
+  other->Say(Type::kReleaseConfirmed, kTask);
   program->Counted("owed_ends", 0, "size ");
   CHECK(program->Statistic("completions_resent") == "1");
 }
--- a/tests/crossing_descriptors_test.cpp
+++ b/tests/crossing_descriptors_test.cpp
@@ -56,8 +56,8 @@
   }
   // Waits for the set-up at that node; another that gets it first refuses it, as a node without room does.
   // The program may try one that it has just had a task at: it takes the list to be late, and a list of that
-  // age shows the task's start and not its end (tests/logic_placement_test.cpp,
-  // AnEndThatTheListDoesNotShowYet...).
+  // age shows the task's start and not its end (tests/scheduling_placement_test.cpp,
+  // TaskEndThatIsNotListedYet...).
   Wire& AwaitSetUpAt(int i, TaskId task) {
     NodeRecord& wanted = nodes[static_cast<std::size_t>(i)];
     const Patience patience;
@@ -84,10 +84,10 @@
     Ask(&*client, task, "unsafe");
     Wire& line = AwaitSetUpAt(i, task);
     line.Answer(task, "there");
-    CHECK(client->Hear(Type::kAnswer, task).description == "there");
+    CHECK(client->Hear(Type::kTaskAccepted, task).description == "there");
     line.Say(Type::kRelease, task, Cause::kEnded);
     CHECK(client->Hear(Type::kRelease, task).cause == 16);
-    client->Say(Type::kReleaseHeard, task);
+    client->Say(Type::kReleaseConfirmed, task);
   }
   void OnlyRoomAt(int i) {
     json list = json::array({NodeAt(i, 10)});
@@ -127,7 +127,7 @@
     ServedBy(i);
   }
   line.Answer(kTask, "there");
-  CHECK(client->Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client->Hear(Type::kTaskAccepted, kTask).description == "there");
   NoDescriptorWasMissing();
 }
 
@@ -142,7 +142,7 @@
   CloseDiscovery();
   Crowd();
   line.Answer(kTask, "there");
-  CHECK(client->Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client->Hear(Type::kTaskAccepted, kTask).description == "there");
   ServedBy(0);
   Crowd();
   ReopenDiscovery();
@@ -177,7 +177,7 @@
     }
     while (client->Speaks(1)) {
       const Heard heard = client->Hear();
-      if (heard.type == Type::kAnswer) CHECK(answered.insert(heard.task).second);
+      if (heard.type == Type::kTaskAccepted) CHECK(answered.insert(heard.task).second);
       if (heard.type != Type::kRelease || answered.contains(heard.task)) continue;
       CHECK(heard.cause == 42);  // nothing ran: refused, not failed
       CHECK(refused.insert(heard.task).second);
--- a/tests/crossing_discovery.h
+++ b/tests/crossing_discovery.h
@@ -48,9 +48,9 @@
     Wire client = program->Owner();
     Ask(&client, task, "unsafe");
     Wire node = to->Accept();
-    node.Hear(Type::kSetUp, task);
+    node.Hear(Type::kTaskRequest, task);
     node.Answer(task, "there");
-    client.Hear(Type::kAnswer, task);
+    client.Hear(Type::kTaskAccepted, task);
   }
 };
 
--- a/tests/crossing_discovery_test.cpp
+++ b/tests/crossing_discovery_test.cpp
@@ -141,9 +141,9 @@
   Wire client = program->Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "there");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   json invalid = FirstNode();
   SUBCASE("invalid state") { invalid["state"] = "lost"; }
   SUBCASE("invalid uid") { invalid["uid"] = 1; }
--- a/tests/crossing_idle_test.cpp
+++ b/tests/crossing_idle_test.cpp
@@ -27,9 +27,9 @@
   SUBCASE("a task that was placed") {
     Ask(&client, kTask, "unsafe");
     AcceptNode();
-    node->Hear(Type::kSetUp, kTask);
+    node->Hear(Type::kTaskRequest, kTask);
     node->Answer(kTask, "there");
-    client.Hear(Type::kAnswer, kTask);
+    client.Hear(Type::kTaskAccepted, kTask);
   }
   SUBCASE("a task that was handed over") {
     HandOver(&client, kTask);
@@ -39,7 +39,7 @@
   CHECK_FALSE(client.Readable(7'000));
   EndAtNode(kTask);
   CHECK(client.Hear(Type::kRelease, kTask).cause == 16);
-  client.Say(Type::kReleaseHeard, kTask);
+  client.Say(Type::kReleaseConfirmed, kTask);
   program->Counted("owed_ends", 0, "size ");
 }
 
@@ -50,7 +50,7 @@
   AcceptNode();
   EndAtNode(kTask);
   CHECK(client.Hear(Type::kRelease, kTask).cause == 16);
-  client.Say(Type::kReleaseHeard, kTask);
+  client.Say(Type::kReleaseConfirmed, kTask);
   CHECK(client.Closed());
 }
 
--- a/tests/crossing_node_ends_test.cpp
+++ b/tests/crossing_node_ends_test.cpp
@@ -22,7 +22,8 @@
     Ask(client, kTask, class_name);
     Wire& line = at_first.AwaitSetUp(kTask);
     std::string answer;
-    protocol::Writer(&answer, Type::kAnswer, kTask).Add(Code::kDescription, std::string_view("half of it"));
+    protocol::Writer(&answer, Type::kTaskAccepted, kTask)
+        .Add(Code::kDescription, std::string_view("half of it"));
     line.Raw(answer.substr(0, answer.size() / 2));
     SUBCASE("then the node closes") { line.Close(); }
     SUBCASE("then the node resets") { line.Reset(); }
@@ -53,7 +54,7 @@
   }
   Wire& next = at_second.AwaitSetUp(kTask);
   next.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 // Must: an answer likewise: the task stands, and its client is answered.
@@ -70,7 +71,7 @@
         line.Answer(kTask, "there");
         line.Reset();
       });
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   at_second.Read();
   CHECK(at_second.SetUps(kTask) == 0);
 }
@@ -124,7 +125,7 @@
     line.Reset();
     program->Resume();
   }
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 // Must: an attempt whose answer broke off may have run. An unsafe one fails; a safe one is tried elsewhere,
@@ -141,7 +142,7 @@
     CHECK(at_second.SetUps(kTask) == 0);
   } else {
     at_second.AwaitSetUp(kTask).Answer(kTask, "there");
-    CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+    CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   }
   program->Counted("agent_open", 0, "size ");
 }
@@ -163,7 +164,7 @@
   REQUIRE_MESSAGE(Out(kTask) == 1, "the set-up was lost with the connection");
   NodeRecord& record = at_first.SetUps(kTask) > 0 ? at_first : at_second;
   record.AwaitSetUp(kTask).Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 }  // namespace
--- a/tests/crossing_release_test.cpp
+++ b/tests/crossing_release_test.cpp
@@ -16,14 +16,14 @@
     older.emplace(program->Owner());
     Ask(&*older, kTask, "unsafe");
     node.emplace(first.Accept());
-    node->Hear(Type::kSetUp, kTask);
+    node->Hear(Type::kTaskRequest, kTask);
     node->Answer(kTask, "there");
-    older->Hear(Type::kAnswer, kTask);
+    older->Hear(Type::kTaskAccepted, kTask);
     younger.emplace(program->Owner());
     Ask(&*younger, kOther, "unsafe");
-    node->Hear(Type::kSetUp, kOther);
+    node->Hear(Type::kTaskRequest, kOther);
     node->Answer(kOther, "there");
-    younger->Hear(Type::kAnswer, kOther);
+    younger->Hear(Type::kTaskAccepted, kOther);
     REQUIRE(Post(program->admin_port(), "/v1/cluster-manager/drain").yes());
     REQUIRE(older->Closed());
   }
