--- a/tests/crossing_shutdown_test.cpp
+++ b/tests/crossing_shutdown_test.cpp
@@ -10,15 +10,15 @@
 
 std::string RequestBytes(TaskId task) {
   std::string bytes;
-  protocol::Writer writer(&bytes, Type::kSetUp, task);
-  writer.Add(Code::kClass, "unsafe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-  writer.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+  protocol::Writer writer(&bytes, Type::kTaskRequest, task);
+  writer.Add(Code::kClass, "unsafe").Add(Code::kTimeoutMs, "25000").Add(Code::kTenant, "shop one");
+  writer.Add(Code::kName, "0b5e").Add(Code::kResources, "cores:1;memory:2;service:0b");
   writer.Add(Code::kDescription, "run");
   return bytes;
 }
 std::string HealthCheckBytes(TaskId task) {
   std::string bytes;
-  protocol::Writer(&bytes, Type::kTest, task).Add(Cause::kTestFailed);
+  protocol::Writer(&bytes, Type::kHealthCheck, task).Add(Cause::kHealthCheckFailed);
   return bytes;
 }
 
@@ -29,9 +29,9 @@
   // The node receives the task on a new connection and accepts it, and the client receives the answer.
   void ExpectServed(Wire* client, TaskId task) {
     Wire node = first.Accept();
-    node.Hear(Type::kSetUp, task);
+    node.Hear(Type::kTaskRequest, task);
     node.Answer(task, "there");
-    CHECK(client->Hear(Type::kAnswer, task).description == "there");
+    CHECK(client->Hear(Type::kTaskAccepted, task).description == "there");
   }
   void Terminate() {
     program->Signal(SIGTERM);
@@ -88,10 +88,10 @@
     client.Raw(RequestBytes(kTask));
   }
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   CHECK_FALSE(client.Readable(400));  // not closed either: longer than the flush period
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   ExpectExit();
 }
 
@@ -113,7 +113,7 @@
   Wire client = program->Owner();
   const std::string bytes = RequestBytes(kTask);
   client.Raw(HealthCheckBytes(1) + bytes.substr(0, bytes.size() / 2));
-  client.Hear(Type::kTestResult, 1);  // so the first half of the request has been read
+  client.Hear(Type::kHealthCheckResult, 1);  // so the first half of the request has been read
   Terminate();
   CHECK_FALSE(client.Readable(kAfterLastConnectionMs));
   client.Raw(bytes.substr(bytes.size() / 2));
@@ -125,7 +125,7 @@
   Start();
   Wire client = program->Owner();
   client.Raw(HealthCheckBytes(1) + RequestBytes(kTask).substr(0, 20));
-  client.Hear(Type::kTestResult, 1);
+  client.Hear(Type::kHealthCheckResult, 1);
   Terminate();
   SUBCASE("nothing more comes") {}
   SUBCASE("one byte more") { client.Raw(RequestBytes(kTask).substr(20, 1)); }
@@ -172,9 +172,9 @@
   Wire client = program->Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "there");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   client.Close();
   program->Counted("client_closes", 1);
   node.Say(Type::kRelease, kTask, Cause::kEnded);
@@ -188,11 +188,11 @@
   Wire client = program->Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   Terminate();
   for (const int number : {SIGTERM, SIGINT, SIGTERM}) program->Signal(number);
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   ExpectExit();
 }
 
@@ -201,7 +201,7 @@
   Wire client = program->Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   program->Configure("{\"name\":");
   SUBCASE("after SIGTERM") {
     Terminate();
@@ -215,15 +215,15 @@
     program->Signal(SIGCONT);
   }
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   ExpectExit();
 }
 
 struct DrainFixture : Operated {
   void ExpectAccepted(Wire* node, Wire* client, TaskId task) {
-    node->Hear(Type::kSetUp, task);
+    node->Hear(Type::kTaskRequest, task);
     node->Answer(task, "there");
-    CHECK(client->Hear(Type::kAnswer, task).description == "there");
+    CHECK(client->Hear(Type::kTaskAccepted, task).description == "there");
   }
 };
 
@@ -233,7 +233,7 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   program.Signal(SIGTERM);
   program.Logged("stopping: 1 unanswered requests");
@@ -243,7 +243,7 @@
   Wire other_node = first.Accept();
   ExpectAccepted(&other_node, &late_client, kOther);
   node.Answer(kTask, "there");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   program.Logged("size deadlines ");
   CHECK(program.ExitStatus() == 0);
 }
@@ -254,7 +254,7 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   program.Signal(SIGTERM);
   program.Logged("stopping: 1 unanswered requests");
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
@@ -262,7 +262,7 @@
   CHECK(Get(port, "/v1/readyz").status == 503);
   client.NothingElse();  // the connection is still open
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   program.Logged("size deadlines ");
   CHECK(program.ExitStatus() == 0);
 }
@@ -273,7 +273,7 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   json config = program.config();
   config["settings"]["Services"].erase(2);
   program.Configure(config.dump());
@@ -281,7 +281,7 @@
   program.Logged("1 dropped");
   CHECK(Post(program.admin_port(), "/v1/cluster-manager/drain").yes());
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   node.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(client.Hear(Type::kRelease, kTask).cause == 16);
   CHECK(client.Closed());
--- a/tests/crossing_site.h
+++ b/tests/crossing_site.h
@@ -39,7 +39,7 @@
     }
     return *LineOf(type, task);
   }
-  Wire& AwaitSetUp(TaskId task) { return Await(Type::kSetUp, task); }
+  Wire& AwaitSetUp(TaskId task) { return Await(Type::kTaskRequest, task); }
   // Accepts one connection.
   Wire& Accept() { return lines_.emplace_back(port_->Accept()); }
   std::size_t Count(Type type, TaskId task) const {
@@ -53,11 +53,11 @@
     std::vector<std::pair<Wire*, TaskId>> fresh;
     for (; looked_at_ < heard_.size(); ++looked_at_) {
       const auto& [line, heard] = heard_[looked_at_];
-      if (heard.type == Type::kSetUp) fresh.emplace_back(&lines_[line], heard.task);
+      if (heard.type == Type::kTaskRequest) fresh.emplace_back(&lines_[line], heard.task);
     }
     return fresh;
   }
-  std::size_t SetUps(TaskId task) const { return Count(Type::kSetUp, task); }
+  std::size_t SetUps(TaskId task) const { return Count(Type::kTaskRequest, task); }
   const Heard* Find(Type type, TaskId task) const {
     for (const auto& [line, heard] : heard_) {
       if (heard.type == type && heard.task == task) return &heard;
@@ -80,8 +80,9 @@
 };
 
 inline void RefuseForCores(Wire* node, TaskId task) {
-  node->Say(Type::kRelease, task,
-            [](protocol::Writer& w) { w.Add(Cause::kFull).Add(Code::kNote, std::string_view("cpu_full")); });
+  node->Say(Type::kRelease, task, [](protocol::Writer& w) {
+    w.Add(Cause::kNoCapacity).Add(Code::kDetail, std::string_view("cpu_full"));
+  });
 }
 
 // In which order the bytes of two events arrive that the program finds in one turn.
@@ -140,10 +141,10 @@
     Ask(&client, kThird, "unsafe");
     Wire& line = node->AwaitSetUp(kThird);
     line.Answer(kThird, "there");
-    client.Hear(Type::kAnswer, kThird);
+    client.Hear(Type::kTaskAccepted, kThird);
     line.Say(Type::kRelease, kThird, Cause::kEnded);
     client.Hear(Type::kRelease, kThird);
-    client.Say(Type::kReleaseHeard, kThird);
+    client.Say(Type::kReleaseConfirmed, kThird);
     program->Counted("owed_ends", 0, "size ");
     return line;
   }
@@ -172,7 +173,7 @@
     }
     NodeRecord& record = at_first.SetUps(task) > 0 ? at_first : at_second;
     record.AwaitSetUp(task).Answer(task, "fence");
-    client.Hear(Type::kAnswer, task);
+    client.Hear(Type::kTaskAccepted, task);
     at_first.Read();
     at_second.Read();
   }
--- a/tests/crossing_startup_test.cpp
+++ b/tests/crossing_startup_test.cpp
@@ -103,9 +103,9 @@
   Wire client = Wire::To(std::stoi(port));  // a client that connects is still served
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "there");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "there");
   CHECK(start.ExitStatus() == 0);
 }
 
@@ -167,10 +167,10 @@
     "with discovery down a process that inherits a socket serves the connections in its accept queue") {
   bulletin.Close();
   Wire client = Owner();
-  client.Say(Type::kTest, 1, Cause::kTestFailed);
+  client.Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
   lives.push_back(std::make_unique<Program>(Nodes(), bulletin, Settings(), 0, 0,
                                             Platform{owners.socket(), tmp.string(), true}));
-  CHECK(client.Hear(Type::kTestResult, 1).cause == 1);
+  CHECK(client.Hear(Type::kHealthCheckResult, 1).cause == 1);
   CHECK(Get(lives.back()->admin_port(), "/v1/readyz").yes());
 }
 
--- a/tests/estimates_test.cpp
+++ b/tests/estimates_test.cpp
@@ -43,11 +43,11 @@
   pcg32 random(1);
   for (int i = 0; i < 20'000; ++i) {
     const Time value = Lognormal(random, 60, 2);
-    const int bucket = LogBuckets::Of(value);
-    REQUIRE(LogBuckets::Lower(bucket) < value);
-    REQUIRE(value <= LogBuckets::Upper(bucket));
-    const auto middle = static_cast<double>(LogBuckets::Middle(bucket));
-    REQUIRE(std::abs(middle / static_cast<double>(value) - 1) <= LogBuckets::kError + 1e-6);
+    const int bucket = LogBuckets::IndexOf(value);
+    REQUIRE(LogBuckets::LowerBound(bucket) < value);
+    REQUIRE(value <= LogBuckets::UpperBound(bucket));
+    const auto middle = static_cast<double>(LogBuckets::Midpoint(bucket));
+    REQUIRE(std::abs(middle / static_cast<double>(value) - 1) <= LogBuckets::kRelativeError + 1e-6);
   }
 }
 
@@ -57,8 +57,8 @@
   for (int i = 0; i < 500; ++i) {
     const int bucket = static_cast<int>(random(40));
     const std::uint32_t weight = random(5000);
-    at_once.Add(bucket, BucketCounts::kExits, weight);
-    by_steps.Add(bucket, BucketCounts::kExits, weight);
+    at_once.Add(bucket, BucketCounts::kCompleted, weight);
+    by_steps.Add(bucket, BucketCounts::kCompleted, weight);
   }
   at_once.Halve(5);
   for (const int times : {2, 0, 1, 2}) by_steps.Halve(times);
@@ -78,7 +78,7 @@
     for (const double q : {0.05, 0.25, 0.5, 0.9, 0.99}) {
       const auto exact = static_cast<double>(all[static_cast<std::size_t>(std::ceil(q * 700 - 1e-9)) - 1]);
       const auto told = static_cast<double>(estimates.Quantile(Of(7), q, kStart));
-      CHECK(std::abs(told / exact - 1) <= LogBuckets::kError + 1e-6);
+      CHECK(std::abs(told / exact - 1) <= LogBuckets::kRelativeError + 1e-6);
     }
   }
 }
@@ -124,17 +124,17 @@
       estimates.Note(Of(7), ran, lives <= cut ? End::kDone : End::kCut, now);
       estimates.Ended(id, End::kCut, now);  // at once: adds nobody beyond the first bucket
       all.push_back({0, false});
-      all.push_back({LogBuckets::Of(ran), lives <= cut});
+      all.push_back({LogBuckets::IndexOf(ran), lives <= cut});
     }
     now += 30 * kSecond;
     for (const auto& [since, id] : standing) {
-      const int bucket = LogBuckets::Of(now - since);
+      const int bucket = LogBuckets::IndexOf(now - since);
       all.push_back({bucket < 48 ? 0 : bucket - bucket % 4, false});
     }
     for (int bucket = 0; bucket < 120; ++bucket) {
       const std::optional<double> exact = StillThere(all, bucket);
       if (!exact) break;
-      const double told = estimates.Outlives(Of(7), 0, LogBuckets::Upper(bucket), now);
+      const double told = estimates.Outlives(Of(7), 0, LogBuckets::UpperBound(bucket), now);
       REQUIRE(told == doctest::Approx(*exact).epsilon(1e-9));
     }
     CHECK(estimates.standing() == standing.size());
@@ -258,7 +258,7 @@
   for (scheduling::RequestId id = 1; id <= 40; ++id) estimates.Ended(id, End::kCut, now);
   CHECK(estimates.standing() == 0);
   for (const Said::Cell& cell : estimates.Delta(0, 10'000, now).cells) {
-    for (const auto& entry : cell.counts) REQUIRE(entry.weight[BucketCounts::kStanding] == 0);
+    for (const auto& entry : cell.counts) REQUIRE(entry.weight[BucketCounts::kRunning] == 0);
   }
 }
 
--- a/tests/hard_case_test.cpp
+++ b/tests/hard_case_test.cpp
@@ -21,10 +21,10 @@
   first.Unclog();
   // The set-up waited for its connection, and went nowhere else meanwhile.
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   CHECK_FALSE(second.Dialled());
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   std::this_thread::sleep_for(std::chrono::milliseconds(5));
   agent.Answer(kTask, "there again");
   program->Counted("node_replies_unmatched", 1);
@@ -35,7 +35,7 @@
   program->Counted("discovery_events", 1);
   Ask(&owner, kOther, "unsafe");
   Wire next = second.Accept();
-  next.Hear(Type::kSetUp, kOther);
+  next.Hear(Type::kTaskRequest, kOther);
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
 }
--- a/tests/interleave/handoff_test.cpp
+++ b/tests/interleave/handoff_test.cpp
@@ -43,14 +43,14 @@
   struct World {
     explicit World(std::size_t most)
         : queue(most, [this] { Woken(); }), worker([this] {
-            while (const auto item = queue.Pop()) queue.Give(*item * 10);
+            while (const auto item = queue.Pop()) queue.PushResult(*item * 10);
           }) {
       loop.Name("loop's wake-up");
       worker.Name("worker");
     }
     void Woken() {
       ++wakes;
-      queue.open();  // takes the lock: a self-lock if `wake` is called under it
+      queue.unfinished();  // takes the lock: a self-lock if `wake` is called under it
       loop.Send();
     }
     bool Push() {
@@ -61,7 +61,7 @@
       return true;
     }
     bool Take() {
-      const auto result = queue.TakeResult();
+      const auto result = queue.PopResult();
       if (!result) return false;
       taken.push_back(*result);
       return true;
@@ -75,7 +75,7 @@
       for (const int item : dropped)
         Require(item == ++next, "what is dropped is what was not done, in order");
       Require(next == pushed, "nothing is lost");
-      Require(queue.open() == 0, "nothing is open at the end");
+      Require(queue.unfinished() == 0, "nothing is open at the end");
       Require(wakes <= static_cast<int>(taken.size()), "no more wake-ups than results");
     }
 
@@ -181,14 +181,14 @@
   FAIL_CHECK("not caught: " << name);
 }
 
-using Real = Code<HandoffQueue, Ending>;
+using Real = Code<HandoffQueue, StopMode>;
 
 TEST_CASE("the handoff queue, every interleaving with small bounds") {
   std::vector<Real::Named> all = Real::Small();
   all.push_back({"traffic 3 items, bound 2", Real::Traffic(3, 2)});
-  all.push_back({"drain 4, bound 3", Real::Stopped(4, 3, Ending::kDrain)});
-  all.push_back({"drop 4, bound 3", Real::Stopped(4, 3, Ending::kDrop)});
-  all.push_back({"3 threads, drop 2", Real::StoppedByAnother(2, Ending::kDrop)});
+  all.push_back({"drain 4, bound 3", Real::Stopped(4, 3, StopMode::kDrain)});
+  all.push_back({"drop 4, bound 3", Real::Stopped(4, 3, StopMode::kDrop)});
+  all.push_back({"3 threads, drop 2", Real::StoppedByAnother(2, StopMode::kDrop)});
   for (const auto& [name, program, spurious] : all) {
     const Result result = Explore(program, {.spurious = spurious});
     CHECK_MESSAGE(!result.failure, name << ": " << result.failure.kind << ": " << result.failure.message
@@ -200,25 +200,25 @@
 }
 
 TEST_CASE("one line of the handoff queue changed: each change is caught") {
-  Catch<mutant_push_tells_nobody::HandoffQueue, mutant_push_tells_nobody::Ending>("push_tells_nobody");
-  Catch<mutant_push_tells_first::HandoffQueue, mutant_push_tells_first::Ending>("push_tells_first");
-  Catch<mutant_push_beyond_bound::HandoffQueue, mutant_push_beyond_bound::Ending>("push_beyond_bound");
-  Catch<mutant_push_after_stop::HandoffQueue, mutant_push_after_stop::Ending>("push_after_stop");
-  Catch<mutant_pop_asks_once::HandoffQueue, mutant_pop_asks_once::Ending>("pop_asks_once");
-  Catch<mutant_pop_leaves_item::HandoffQueue, mutant_pop_leaves_item::Ending>("pop_leaves_item");
-  Catch<mutant_pop_takes_last::HandoffQueue, mutant_pop_takes_last::Ending>("pop_takes_last");
-  Catch<mutant_pop_forgets_rest::HandoffQueue, mutant_pop_forgets_rest::Ending>("pop_forgets_rest");
-  Catch<mutant_pop_without_lock::HandoffQueue, mutant_pop_without_lock::Ending>("pop_without_lock");
-  Catch<mutant_take_frees_nothing::HandoffQueue, mutant_take_frees_nothing::Ending>("take_frees_nothing");
-  Catch<mutant_stop_tells_nobody::HandoffQueue, mutant_stop_tells_nobody::Ending>("stop_tells_nobody");
-  Catch<mutant_stop_keeps_dropped::HandoffQueue, mutant_stop_keeps_dropped::Ending>("stop_keeps_dropped");
-  Catch<mutant_stop_frees_nothing::HandoffQueue, mutant_stop_frees_nothing::Ending>("stop_frees_nothing");
-  Catch<mutant_give_never_wakes::HandoffQueue, mutant_give_never_wakes::Ending>("give_never_wakes");
-  Catch<mutant_give_wakes_each_time::HandoffQueue, mutant_give_wakes_each_time::Ending>(
+  Catch<mutant_push_tells_nobody::HandoffQueue, mutant_push_tells_nobody::StopMode>("push_tells_nobody");
+  Catch<mutant_push_tells_first::HandoffQueue, mutant_push_tells_first::StopMode>("push_tells_first");
+  Catch<mutant_push_beyond_bound::HandoffQueue, mutant_push_beyond_bound::StopMode>("push_beyond_bound");
+  Catch<mutant_push_after_stop::HandoffQueue, mutant_push_after_stop::StopMode>("push_after_stop");
+  Catch<mutant_pop_asks_once::HandoffQueue, mutant_pop_asks_once::StopMode>("pop_asks_once");
+  Catch<mutant_pop_leaves_item::HandoffQueue, mutant_pop_leaves_item::StopMode>("pop_leaves_item");
+  Catch<mutant_pop_takes_last::HandoffQueue, mutant_pop_takes_last::StopMode>("pop_takes_last");
+  Catch<mutant_pop_forgets_rest::HandoffQueue, mutant_pop_forgets_rest::StopMode>("pop_forgets_rest");
+  Catch<mutant_pop_without_lock::HandoffQueue, mutant_pop_without_lock::StopMode>("pop_without_lock");
+  Catch<mutant_take_frees_nothing::HandoffQueue, mutant_take_frees_nothing::StopMode>("take_frees_nothing");
+  Catch<mutant_stop_tells_nobody::HandoffQueue, mutant_stop_tells_nobody::StopMode>("stop_tells_nobody");
+  Catch<mutant_stop_keeps_dropped::HandoffQueue, mutant_stop_keeps_dropped::StopMode>("stop_keeps_dropped");
+  Catch<mutant_stop_frees_nothing::HandoffQueue, mutant_stop_frees_nothing::StopMode>("stop_frees_nothing");
+  Catch<mutant_give_never_wakes::HandoffQueue, mutant_give_never_wakes::StopMode>("give_never_wakes");
+  Catch<mutant_give_wakes_each_time::HandoffQueue, mutant_give_wakes_each_time::StopMode>(
       "give_wakes_each_time");
-  Catch<mutant_give_wakes_late::HandoffQueue, mutant_give_wakes_late::Ending>("give_wakes_late");
-  Catch<mutant_give_wakes_locked::HandoffQueue, mutant_give_wakes_locked::Ending>("give_wakes_locked");
-  Catch<mutant_give_asks_unlocked::HandoffQueue, mutant_give_asks_unlocked::Ending>("give_asks_unlocked");
+  Catch<mutant_give_wakes_late::HandoffQueue, mutant_give_wakes_late::StopMode>("give_wakes_late");
+  Catch<mutant_give_wakes_locked::HandoffQueue, mutant_give_wakes_locked::StopMode>("give_wakes_locked");
+  Catch<mutant_give_asks_unlocked::HandoffQueue, mutant_give_asks_unlocked::StopMode>("give_asks_unlocked");
 }
 
 TEST_CASE("the handoff queue on real threads: all comes back in order") {
@@ -234,7 +234,7 @@
     shared.woken.notify_one();
   });
   std::thread worker([&queue] {
-    while (const auto item = queue.Pop()) queue.Give(*item * 2);
+    while (const auto item = queue.Pop()) queue.PushResult(*item * 2);
   });
   int pushed = 0, taken = 0;
   while (taken < kItems) {
@@ -244,14 +244,14 @@
       shared.woken.wait(lock, [&shared] { return shared.set; });
       shared.set = false;
     }
-    while (const auto result = queue.TakeResult()) {
+    while (const auto result = queue.PopResult()) {
       REQUIRE(*result == taken * 2);
       ++taken;
     }
   }
-  CHECK(queue.Stop(Ending::kDrain).empty());
+  CHECK(queue.Stop(StopMode::kDrain).empty());
   worker.join();
-  CHECK(queue.open() == 0);
+  CHECK(queue.unfinished() == 0);
 }
 
 }  // namespace
--- a/tests/logic_driver.h
+++ b/tests/logic_driver.h
@@ -55,7 +55,7 @@
   s.drain_grace = kSecond;
   s.tick = 2 * kMs;
   s.answer_slack = 8 * kMs;
-  s.subscribe_within = 10 * kSecond;
+  s.subscription_timeout = 10 * kSecond;
   return s;
 }
 
--- a/tests/logic_operations_test.cpp
+++ b/tests/logic_operations_test.cpp
@@ -6,8 +6,8 @@
 namespace scheduling {
 namespace {
 
-std::vector<Action> Change(Driver* d, const Settings& settings, std::vector<int> learns_from) {
-  return d->Send(SettingsChanged{std::make_shared<const Settings>(settings), std::move(learns_from)});
+std::vector<Action> Change(Driver* d, const Settings& settings, std::vector<int> estimate_sources) {
+  return d->Send(SettingsChanged{std::make_shared<const Settings>(settings), std::move(estimate_sources)});
 }
 
 // No probes: no timer but that of the rule at hand.
@@ -76,7 +76,7 @@
     d->End(id, 0, 1, Outcome::kOk, true);
   }
 }
-int TakenAfter(std::vector<int> learns_from, int class_index) {
+int TakenAfter(std::vector<int> estimate_sources, int class_index) {
   static int runs = 0;
   Settings s = Quiet();
   s.cores_overcommit = 4;
@@ -84,7 +84,7 @@
   d.UpdateList({Entry(1)});
   LearnThatItUsesAll(&d);
   s.classes.push_back(s.classes[0]);
-  Change(&d, s, std::move(learns_from));
+  Change(&d, s, std::move(estimate_sources));
   return Taken(&d, class_index, "taken" + std::to_string(++runs) + "-");
 }
 
--- a/tests/logic_rules_test.cpp
+++ b/tests/logic_rules_test.cpp
@@ -210,7 +210,7 @@
 TEST(RuleThree, ASilentListIsAskedForAgain) {
   Settings s = BasicSettings();
   s.discovery_by_subscription = true;
-  s.subscribe_within = 4 * kSecond;
+  s.subscription_timeout = 4 * kSecond;
   Driver d(s);
   d.UpdateList({Entry(1)}, EndpointListUpdate::kCached);
   d.UpdateList({Entry(1)}, EndpointListUpdate::kFull);
--- a/tests/many_nodes_test.cpp
+++ b/tests/many_nodes_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "many_nodes_world.h"
+#include "scheduler_harness.h"
 
 namespace scheduling {
 namespace {
@@ -24,13 +24,13 @@
 }
 
 TEST_CASE("among a thousand nodes the pick is a near-tie of the least C over W") {
-  const Settings settings = Fleet();
+  const Settings settings = TestFleetSettings();
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    World world(1000, seed);
+    SchedulerHarness world(1000, seed);
     const double cores = 0.5 * static_cast<double>(1 + seed % 4);
     double least = 1e9;
     for (const auto& [id, e] : world.listed) least = std::min(least, Ratio(e, settings, cores));
-    const NodeId node = world.Place(world.Ask(1, cores, 2, seed));
+    const NodeId node = world.PlaceTask(world.MakeTask(1, cores, 2, seed));
     REQUIRE(node != 0);
     CHECK(Ratio(world.listed[node], settings, cores) <= 1.08 * least * (1 + 1e-9));
   }
@@ -39,18 +39,18 @@
 TEST_CASE("what is looked at for a pick does not grow with the fleet") {
   std::map<int, double> looked;
   for (const int nodes : {100, 1000, 4000}) {
-    World world(nodes);
+    SchedulerHarness world(nodes);
     std::vector<StartAttempt> open;
     RequestId id = 0;
     std::uint64_t before = 0;
     for (int i = 0; i < 1500; ++i) {
       if (i == 500) before = world.scheduler.candidates_examined();
       world.now += 6 * kMs;
-      world.Place(world.Ask(++id, 0.5 + static_cast<double>(i % 3) * 0.5, 1,
-                            10 + static_cast<std::uint64_t>(i % 40)));
-      if (world.offers.size() > 300) {
-        world.End(world.offers.front().id, world.offers.front().node);
-        world.offers.erase(world.offers.begin());
+      world.PlaceTask(world.MakeTask(++id, 0.5 + static_cast<double>(i % 3) * 0.5, 1,
+                                     10 + static_cast<std::uint64_t>(i % 40)));
+      if (world.attempts.size() > 300) {
+        world.CompleteTask(world.attempts.front().id, world.attempts.front().node);
+        world.attempts.erase(world.attempts.begin());
       }
     }
     looked[nodes] = static_cast<double>(world.scheduler.candidates_examined() - before) / 1000;
@@ -62,101 +62,101 @@
 }
 
 TEST_CASE("two hundred held tasks that fit nowhere cost next to nothing while a thousand nodes are probed") {
-  World world(1000);
+  SchedulerHarness world(1000);
   for (RequestId id = 1; id <= 200; ++id) {
-    Task task = world.Ask(id, 92, 90, 1000 + id);
+    Task task = world.MakeTask(id, 92, 90, 1000 + id);
     task.deadline = world.now + 1000 * kSecond;
-    REQUIRE(world.Place(task) == 0);
+    REQUIRE(world.PlaceTask(task) == 0);
   }
   const std::uint64_t before = world.scheduler.candidates_examined();
   int probes = 0;
   for (int i = 0; i < 200; ++i) {
     world.now += 50 * kMs;
-    for (const Action& action : std::vector<Action>(world.Send(TimerFired{}))) {
+    for (const Action& action : std::vector<Action>(world.HandleEvent(TimerFired{}))) {
       const auto* probe = std::get_if<CheckNodeHealth>(&action);
       if (probe == nullptr) continue;
       ++probes;
       HealthCheckCompleted answer{probe->node, Outcome::kOk, 3 * kMs, {}};
       answer.report.Set(LoadReport::kFreeCores, 20);
       answer.report.Set(LoadReport::kFreeMemory, 30);
-      world.Send(answer);
+      world.HandleEvent(answer);
     }
   }
-  CHECK(world.offers.empty());
+  CHECK(world.attempts.empty());
   CHECK(probes >= 90);
   // 200 tasks tried 200 times: one entry of the index each, and not the thousand nodes.
   CHECK(world.scheduler.candidates_examined() - before < 200 * 200 * 3);
-  NodeEntry roomy = world.Entry(500);
+  NodeEntry roomy = world.MakeEntry(500);
   roomy.free_cores = 40;
   roomy.free_memory = 64;
-  world.Roster({roomy});
-  Task small = world.Ask(9000, 1, 2, 3);
-  REQUIRE(world.Place(small) != 0);  // the others are served meanwhile
-  world.offers.clear();
-  REQUIRE(world.Place(world.Ask(9001, 30, 78, 4)) == 500);  // and what fits the new room gets it
+  world.UpdateEndpointList({roomy});
+  Task small = world.MakeTask(9000, 1, 2, 3);
+  REQUIRE(world.PlaceTask(small) != 0);  // the others are served meanwhile
+  world.attempts.clear();
+  REQUIRE(world.PlaceTask(world.MakeTask(9001, 30, 78, 4)) == 500);  // and what fits the new room gets it
 }
 
 TEST_CASE("a held task is placed once room comes free") {
-  World world(200);
+  SchedulerHarness world(200);
   // Past what the use of a machine of 40 cores allows, however empty, at the use per unit that is taken for
   // granted.
-  REQUIRE(world.Place(world.Ask(1, 82, 50, 9)) == 0);
+  REQUIRE(world.PlaceTask(world.MakeTask(1, 82, 50, 9)) == 0);
   // Past what is free anywhere now: 24 cores and 40 of memory unasked of what a node admits.
-  REQUIRE(world.Place(world.Ask(2, 30, 76, 10)) == 0);
-  NodeEntry roomy = world.Entry(77);
+  REQUIRE(world.PlaceTask(world.MakeTask(2, 30, 76, 10)) == 0);
+  NodeEntry roomy = world.MakeEntry(77);
   roomy.free_cores = 40;
   roomy.free_memory = 64;
-  world.Roster({roomy});
-  for (int i = 0; i < 3 && world.offers.empty(); ++i) {
+  world.UpdateEndpointList({roomy});
+  for (int i = 0; i < 3 && world.attempts.empty(); ++i) {
     world.now += 60 * kMs;
-    world.Send(TimerFired{});
+    world.HandleEvent(TimerFired{});
   }
-  REQUIRE(world.offers.size() == 1);
-  CHECK(world.offers[0].id == 2);
-  CHECK(world.offers[0].node == 77);
+  REQUIRE(world.attempts.size() == 1);
+  CHECK(world.attempts[0].id == 2);
+  CHECK(world.attempts[0].node == 77);
 }
 
 TEST_CASE("a node that goes while the index holds it gets nothing more") {
-  World world(300);
+  SchedulerHarness world(300);
   for (int i = 0; i < 250; ++i) {
-    const NodeId node =
-        world.Place(world.Ask(static_cast<RequestId>(i + 1), 1, 2, 5000 + static_cast<std::uint64_t>(i)));
+    const NodeId node = world.PlaceTask(
+        world.MakeTask(static_cast<RequestId>(i + 1), 1, 2, 5000 + static_cast<std::uint64_t>(i)));
     REQUIRE(node != 0);
-    world.End(static_cast<RequestId>(i + 1), node);
+    world.CompleteTask(static_cast<RequestId>(i + 1), node);
     NodeEntry gone = world.listed[node];
     gone.state = i % 2 == 0 ? NodeState::kRemoved : NodeState::kDraining;
-    world.Roster({gone});  // what Place checks: no offer goes there from here on
+    world.UpdateEndpointList({gone});  // what Place checks: no offer goes there from here on
     world.now += 20 * kMs;
   }
 }
 
 TEST_CASE("a list that replaces all nodes at once leaves nothing of the old") {
-  World world(500);
+  SchedulerHarness world(500);
   for (int i = 1; i <= 100; ++i) {
     const RequestId id = static_cast<RequestId>(i);
-    world.End(id, world.Place(world.Ask(id, 1, 2, id)));
+    world.CompleteTask(id, world.PlaceTask(world.MakeTask(id, 1, 2, id)));
   }
   for (NodeId round = 1; round <= 3; ++round) {
     std::vector<NodeEntry> fresh;
-    for (NodeId id = 1; id <= 500; ++id) fresh.push_back(world.Entry(round * 10'000 + id));
+    for (NodeId id = 1; id <= 500; ++id) fresh.push_back(world.MakeEntry(round * 10'000 + id));
     for (auto& [id, entry] : world.listed)
       entry.state = NodeState::kRemoved;  // no offer goes to one of these
-    world.Roster(fresh, EndpointListUpdate::kFull);
+    world.UpdateEndpointList(fresh, EndpointListUpdate::kFull);
     world.now += 10 * kSecond;  // its programs are forgotten
     for (int i = 1; i <= 100; ++i) {
       const RequestId id = static_cast<RequestId>(i);
-      const NodeId node = world.Place(world.Ask(id, 1, 2, id));
+      const NodeId node = world.PlaceTask(world.MakeTask(id, 1, 2, id));
       REQUIRE(node / 10'000 == round);
-      world.End(id, node);
+      world.CompleteTask(id, node);
     }
   }
   world.now += 10 * kSecond;
-  world.Roster({});
+  world.UpdateEndpointList({});
   CHECK(world.scheduler.tracked_entries() == 500);
 }
 
 TEST_CASE("from many nodes to few and back: what is not indexed is scanned, and nothing is lost") {
-  World world(100);
+  SchedulerHarness world(100);
   for (int round = 0; round < 4; ++round) {
     std::vector<NodeEntry> gone;
     for (auto& [id, entry] : world.listed) {
@@ -164,51 +164,53 @@
       entry.state = NodeState::kRemoved;
       gone.push_back(entry);
     }
-    world.Roster(gone);
+    world.UpdateEndpointList(gone);
     const RequestId id = static_cast<RequestId>(round * 2 + 1);
-    NodeId node = world.Place(world.Ask(id));
+    NodeId node = world.PlaceTask(world.MakeTask(id));
     CHECK(node <= 40);
-    world.End(id, node);
+    world.CompleteTask(id, node);
     std::vector<NodeEntry> back;
-    for (NodeId n = 41; n <= 100; ++n) back.push_back(world.Entry(n));
+    for (NodeId n = 41; n <= 100; ++n) back.push_back(world.MakeEntry(n));
     for (NodeEntry& e : back) e.free_cores = 39;
-    world.Roster(back);
-    node = world.Place(world.Ask(id + 1, 1, 2, 100 + id));
+    world.UpdateEndpointList(back);
+    node = world.PlaceTask(world.MakeTask(id + 1, 1, 2, 100 + id));
     CHECK(node > 40);
-    world.End(id + 1, node);
+    world.CompleteTask(id + 1, node);
   }
 }
 
 TEST_CASE("numbers of requests come round again once they are over") {
-  World world(100);
+  SchedulerHarness world(100);
   for (int i = 0; i < 3000; ++i) {
     const RequestId id = 1 + static_cast<RequestId>(i % 7);
     REQUIRE_FALSE(world.scheduler.Tracks(id));
-    const NodeId node = world.Place(world.Ask(id, 1, 2, static_cast<std::uint64_t>(i % 50)));
+    const NodeId node = world.PlaceTask(world.MakeTask(id, 1, 2, static_cast<std::uint64_t>(i % 50)));
     REQUIRE(node != 0);
     REQUIRE(world.scheduler.Tracks(id));
     if (i % 3 == 0) {  // withdrawn while it is out: remembered until its attempt has ended
-      world.Send(RequestCancelled{id});
+      world.HandleEvent(RequestCancelled{id});
       REQUIRE(world.scheduler.Tracks(id));
-      world.Send(AttemptEnded{id, 0, node, Outcome::kCancelled, kMs, true, EndReason::kUnspecified, {}});
+      world.HandleEvent(
+          AttemptEnded{id, 0, node, Outcome::kCancelled, kMs, true, EndReason::kUnspecified, {}});
     } else {
-      world.End(id, node);
+      world.CompleteTask(id, node);
     }
     world.now += 40 * kMs;
     if (i % 100 == 0) {
-      world.Send(TimerFired{});  // an old deadline of a number that stands for another by now ends nothing
-      world.Roster({});
+      world.HandleEvent(
+          TimerFired{});  // an old deadline of a number that stands for another by now ends nothing
+      world.UpdateEndpointList({});
     }
   }
 }
 
 TEST_CASE("spread holds among many nodes") {
-  World world(600);
+  SchedulerHarness world(600);
   std::map<std::uint64_t, std::map<int, int>> in_cell;
   RequestId id = 0;
   for (int i = 0; i < 600; ++i) {
     const std::uint64_t service = 1 + static_cast<std::uint64_t>(i % 5);
-    const NodeId node = world.Place(world.Ask(++id, 0.5, 1, service, 1));
+    const NodeId node = world.PlaceTask(world.MakeTask(++id, 0.5, 1, service, 1));
     world.now += 5 * kMs;
     if (node == 0) continue;
     CHECK(++in_cell[service][world.listed[node].rack] <= 3);
@@ -221,10 +223,10 @@
 }
 
 TEST_CASE("cold nodes among many get this scheduler's part and no more") {
-  World world(0);
+  SchedulerHarness world(0);
   std::vector<NodeEntry> all;
   for (NodeId id = 1; id <= 100; ++id) {
-    NodeEntry e = world.Entry(id);
+    NodeEntry e = world.MakeEntry(id);
     if (id <= 5) {
       e.started_at = world.now + kMs;
       e.free_cores = 40;
@@ -236,9 +238,9 @@
     all.push_back(e);
   }
   world.now += 10 * kMs;
-  world.Roster(all, EndpointListUpdate::kFull);
+  world.UpdateEndpointList(all, EndpointListUpdate::kFull);
   std::map<NodeId, int> sent;
-  for (RequestId id = 1; id <= 400; ++id) ++sent[world.Place(world.Ask(id, 0.25, 0.25, id))];
+  for (RequestId id = 1; id <= 400; ++id) ++sent[world.PlaceTask(world.MakeTask(id, 0.25, 0.25, id))];
   for (NodeId id = 1; id <= 5; ++id) CHECK(sent[id] <= 24);
 }
 
--- a/tests/many_schedulers_test.cpp
+++ b/tests/many_schedulers_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <vector>
 
-#include "many_nodes_world.h"
+#include "scheduler_harness.h"
 
 namespace scheduling {
 namespace {
@@ -14,26 +14,26 @@
 // Sixteen schedulers over one fleet; scheduler i is in zone i modulo 3.
 struct SixteenSchedulers {
   static constexpr int kSchedulers = 16, kNodes = 400;
-  std::vector<std::unique_ptr<World>> worlds;
+  std::vector<std::unique_ptr<SchedulerHarness>> worlds;
 
   SixteenSchedulers() {
     for (int i = 0; i < kSchedulers; ++i) {
-      Settings settings = Fleet();
+      Settings settings = TestFleetSettings();
       settings.scheduler_count = kSchedulers;
       settings.scheduler_index = i;
       settings.zone = i % 3;
-      worlds.push_back(std::make_unique<World>(kNodes, 1, settings));
+      worlds.push_back(std::make_unique<SchedulerHarness>(kNodes, 1, settings));
     }
   }
   // Places requests of `count` new services by this scheduler, and returns the nodes that accept them.
   std::set<NodeId> PlaceNewServices(int scheduler, int count, RequestId first_id = 1) {
-    World& world = *worlds[static_cast<std::size_t>(scheduler)];
+    SchedulerHarness& world = *worlds[static_cast<std::size_t>(scheduler)];
     std::set<NodeId> nodes;
     for (RequestId id = first_id; id < first_id + static_cast<RequestId>(count); ++id) {
       const NodeId node =
-          world.Place(world.Ask(id, 0.25, 0.5, 1000 * static_cast<std::uint64_t>(scheduler) + id));
+          world.PlaceTask(world.MakeTask(id, 0.25, 0.5, 1000 * static_cast<std::uint64_t>(scheduler) + id));
       REQUIRE(node != 0);
-      world.Send(TaskAccepted{id, 0, node, 10 * kMs});
+      world.HandleEvent(TaskAccepted{id, 0, node, 10 * kMs});
       world.now += kMs;
       nodes.insert(node);
     }
@@ -59,21 +59,21 @@
 TEST_CASE_FIXTURE(SixteenSchedulers,
                   "new services go outside a partition whose load is far above the fleet's mean") {
   const std::set<NodeId> partition = PlaceNewServices(0, 200);
-  World& world = *worlds[0];
+  SchedulerHarness& world = *worlds[0];
   std::vector<NodeEntry> full;
   for (const NodeId node : partition) {
     full.push_back(world.listed.at(node));
     full.back().free_cores = 4;  // enough capacity, but a load far above the mean
   }
   world.now += 5 * kSecond;
-  world.Roster(full);
+  world.UpdateEndpointList(full);
   world.now += kSecond;
   for (const NodeId node : PlaceNewServices(0, 20, 1000)) CHECK_FALSE(partition.contains(node));
 }
 
 TEST_CASE_FIXTURE(SixteenSchedulers,
                   "new services go to other zones while the scheduler's zone drains and return afterwards") {
-  World& world = *worlds[0];
+  SchedulerHarness& world = *worlds[0];
   const std::set<NodeId> before = PlaceNewServices(0, 60);
   std::vector<NodeEntry> zone;
   for (const auto& [node, entry] : world.listed) {
@@ -82,7 +82,7 @@
   const auto set_zone_state = [&](NodeState state) {
     for (NodeEntry& entry : zone) entry.state = state;
     world.now += kSecond;
-    world.Roster(zone);
+    world.UpdateEndpointList(zone);
   };
   set_zone_state(NodeState::kDraining);
   for (const NodeId node : PlaceNewServices(0, 40, 1000)) CHECK(node % 3 != 0);
@@ -94,11 +94,11 @@
 
 TEST_CASE_FIXTURE(SixteenSchedulers,
                   "unanswered attempts in the partition count as load for the next new service") {
-  World& world = *worlds[0];
+  SchedulerHarness& world = *worlds[0];
   std::map<NodeId, int> attempts;
   std::set<NodeId> partition = PlaceNewServices(0, 200);
   for (RequestId id = 1000; id < 1000 + static_cast<RequestId>(partition.size() / 2); ++id) {
-    ++attempts[world.Place(world.Ask(id, 0.25, 0.5, 50'000 + id))];  // without an answer
+    ++attempts[world.PlaceTask(world.MakeTask(id, 0.25, 0.5, 50'000 + id))];  // without an answer
   }
   for (const auto& [node, count] : attempts) CHECK(count == 1);
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -93,7 +93,7 @@
     // Bytes of the queue itself with slices of blocks before, between and behind them; some blocks are used
     // twice.
     for (int i = 0; i < 6; ++i) {
-      BlockPool::Ref block = Blocks().Make(9000);
+      BlockPool::Ref block = SharedBlockPool().Allocate(9000);
       block.Append(Text(&random, random() % 9000));
       const std::size_t cut = random() % (block.size() + 1);
       const std::string queue_bytes = Text(&random, random() % 700);
@@ -113,13 +113,13 @@
     received.clear();
     expected.clear();
   }
-  CHECK(Blocks().live() == 0);
+  CHECK(SharedBlockPool().live() == 0);
   CHECK_FALSE(pair.handler.closed);
 }
 
 TEST_CASE("queued bytes and blocks are bounded and released with the connection") {
   ConnectionPair pair;
-  BlockPool::Ref block = Blocks().Make(16'000);
+  BlockPool::Ref block = SharedBlockPool().Allocate(16'000);
   block.Append(std::string(16'000, 'x'));
   for (int i = 0; i < 100 && !pair.handler.closed; ++i) {
     pair.connection->AppendBlock(block, 0, block.size());
@@ -128,20 +128,20 @@
   CHECK(pair.handler.closed);
   CHECK(pair.handler.reason == CloseReason::kOverflow);
   block = {};
-  CHECK(Blocks().live() == 0);
+  CHECK(SharedBlockPool().live() == 0);
 }
 
 TEST_CASE("a request with a block is sent in one system call and its bytes are copied once") {
   ConnectionPair pair(65'536);
-  BlockPool::Ref block = Blocks().Make(1000);
+  BlockPool::Ref block = SharedBlockPool().Allocate(1000);
   protocol::AppendParameter(&block, Code::kClass, "web-api");
   const std::size_t class_end = block.size();
   protocol::AppendParameter(&block, Code::kDescription, std::string(500, 'd'));
   const std::uint64_t sends = sys::calls.send, written = protocol::bytes_written;
   {
-    protocol::Writer message(pair.connection->write_queue(), Type::kSetUp, 0x0102030405060708);
+    protocol::Writer message(pair.connection->write_queue(), Type::kTaskRequest, 0x0102030405060708);
     pair.connection->AppendBlock(block, 0, class_end);
-    message.Foreign(block.size()).Add(Code::kWait, std::int64_t{1500});
+    message.AddExternalBytes(block.size()).Add(Code::kTimeoutMs, std::int64_t{1500});
     pair.connection->AppendBlock(block, class_end, block.size());
   }
   pair.connection->Flush();
@@ -150,11 +150,11 @@
   const std::string bytes = pair.ReadSome(4096);
   protocol::Message m;
   std::size_t size = 0;
-  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::Step::kMessage);
+  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::DecodeStatus::kMessage);
   CHECK(size == bytes.size());
   CHECK(m.task == 0x0102030405060708);
   CHECK(m.Get(Code::kClass) == "web-api");
-  CHECK(m.Get(Code::kWait) == "1500");
+  CHECK(m.Get(Code::kTimeoutMs) == "1500");
   CHECK(m.Get(Code::kDescription) == std::string(500, 'd'));
 }
 
--- a/tests/operations_story_test.cpp
+++ b/tests/operations_story_test.cpp
@@ -14,7 +14,7 @@
   Wire first_client = Owner();
   Ask(&first_client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   Start();
   old_process.Signal(SIGTERM);
   old_process.Logged("stopping: 1 unanswered requests");
@@ -22,12 +22,12 @@
   Wire second_client = Owner();
   Ask(&second_client, kOther, "unsafe");
   Wire new_connection = first.Accept();
-  new_connection.Hear(Type::kSetUp, kOther);
+  new_connection.Hear(Type::kTaskRequest, kOther);
   new_connection.Answer(kOther, "there");
-  CHECK(second_client.Hear(Type::kAnswer, kOther).description == "there");
+  CHECK(second_client.Hear(Type::kTaskAccepted, kOther).description == "there");
   // The old process answers its own requests, on the connections on which they arrived.
   node.Answer(kTask, "here");
-  CHECK(first_client.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(first_client.Hear(Type::kTaskAccepted, kTask).description == "here");
   CHECK(first_client.Closed());
   CHECK(old_process.ExitStatus() == 0);
   CHECK(Passes(&second_client));
@@ -37,9 +37,9 @@
   Program& old_process = Start();
   std::string bytes;
   {
-    protocol::Writer writer(&bytes, Type::kSetUp, kTask);
-    writer.Add(Code::kClass, "safe").Add(Code::kWait, "25000").Add(Code::kTenant, "shop one");
-    writer.Add(Code::kName, "0b5e").Add(Code::kFigures, "cores:1;memory:2;service:0b");
+    protocol::Writer writer(&bytes, Type::kTaskRequest, kTask);
+    writer.Add(Code::kClass, "safe").Add(Code::kTimeoutMs, "25000").Add(Code::kTenant, "shop one");
+    writer.Add(Code::kName, "0b5e").Add(Code::kResources, "cores:1;memory:2;service:0b");
     writer.Add(Code::kDescription, "run");
   }
   Wire client = Owner();
@@ -50,9 +50,9 @@
   old_process.Logged("stopping");
   client.Raw(bytes.substr(20));
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "here");
-  CHECK(client.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(client.Hear(Type::kTaskAccepted, kTask).description == "here");
   CHECK(old_process.ExitStatus() == 0);
 }
 
@@ -62,9 +62,9 @@
   Wire first_client = Owner();
   Ask(&first_client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "here");
-  first_client.Hear(Type::kAnswer, kTask);
+  first_client.Hear(Type::kTaskAccepted, kTask);
   Program& new_process = Start();
   old_process.Signal(SIGTERM);
   CHECK(first_client.Closed());
@@ -89,9 +89,9 @@
   Wire client = Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "here");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   first.Close();  // the node leaves: its old connection stays up, dials are refused
   Program& new_process = Start();
   old_process.Signal(SIGTERM);
@@ -107,9 +107,9 @@
   Wire client = Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   node.Answer(kTask, "here");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   Start();
   lives.pop_back();  // killed once it was ready: the old process was not signalled and continues to serve
   lists.pop_back();
@@ -136,9 +136,9 @@
   new_process.ExitStatus();
   lives.pop_back();
   Wire queued_client = Owner();  // no process is there, and the connection is not refused
-  queued_client.Say(Type::kTest, 1, Cause::kTestFailed);
+  queued_client.Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
   Start();
-  CHECK(queued_client.Hear(Type::kTestResult, 1).cause == 1);
+  CHECK(queued_client.Hear(Type::kHealthCheckResult, 1).cause == 1);
 }
 
 TEST_CASE_FIXTURE(Operated,
@@ -154,9 +154,9 @@
   Wire client = Owner();
   Ask(&client, kTask, "safe");
   Wire second_node = second.Accept();
-  second_node.Hear(Type::kSetUp, kTask);
+  second_node.Hear(Type::kTaskRequest, kTask);
   second_node.Answer(kTask, "there");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   CHECK_FALSE(first.Dialled());
 
   // The new process knows of the suspension, and of later ones at the old process.
@@ -174,7 +174,7 @@
   Wire new_connection = Owner();
   Ask(&new_connection, kOther, "safe");
   Wire resumed_node = first.Accept();  // stays open: a node that closes its connection would be ejected
-  resumed_node.Hear(Type::kSetUp, kOther);
+  resumed_node.Hear(Type::kTaskRequest, kOther);
   CHECK(FiguresOf(new_process.admin_port())["out_of_rotation"] == 1);
 }
 
@@ -188,9 +188,9 @@
   Wire client = Owner();
   Ask(&client, kTask, "safe");
   Wire second_node = second.Accept();
-  second_node.Hear(Type::kSetUp, kTask);
+  second_node.Hear(Type::kTaskRequest, kTask);
   second_node.Answer(kTask, "there");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   second_node.Say(Type::kRelease, kTask, Cause::kEnded);
   client.Hear(Type::kRelease, kTask);
   CHECK(std::filesystem::file_size(file) == 0);
@@ -210,7 +210,7 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "safe");
   Wire second_node = second.Accept();
-  second_node.Hear(Type::kSetUp, kTask);
+  second_node.Hear(Type::kTaskRequest, kTask);
   CHECK_FALSE(first.Dialled());
 }
 
@@ -223,7 +223,7 @@
   CHECK(Passes(&idle_client));
   Ask(&busy_client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   CHECK(Post(port, "/v1/cluster-manager/drain").yes());
   CHECK(Get(port, "/v1/readyz").status == 503);
   CHECK(idle_client.Closed());
@@ -231,7 +231,7 @@
   CHECK_FALSE(Passes(&new_client));
   CHECK(new_client.Closed());
   node.Answer(kTask, "here");
-  CHECK(busy_client.Hear(Type::kAnswer, kTask).description == "here");
+  CHECK(busy_client.Hear(Type::kTaskAccepted, kTask).description == "here");
   // The task still runs and its completion has to be sent: the connection stays open, but takes no new
   // request.
   Ask(&busy_client, kOther, "unsafe");
@@ -263,17 +263,17 @@
   Wire client = program.Owner();
   Ask(&client, kTask, "unsafe");
   Wire node = first.Accept();
-  node.Hear(Type::kSetUp, kTask);
+  node.Hear(Type::kTaskRequest, kTask);
   json metrics = FiguresOf(port);
   CHECK(metrics["open_requests"] == 1);
   CHECK(metrics["relayed"] == 1);
   CHECK(metrics["registry_entries"] == 2);
   CHECK(metrics["out_of_rotation"] == 0);
   node.Answer(kTask, "here");
-  client.Hear(Type::kAnswer, kTask);
+  client.Hear(Type::kTaskAccepted, kTask);
   Ask(&client, kOther, "unsafe");
-  node.Hear(Type::kSetUp, kOther);
-  node.Say(Type::kRelease, kOther, Cause::kReset);
+  node.Hear(Type::kTaskRequest, kOther);
+  node.Say(Type::kRelease, kOther, Cause::kAborted);
   client.Hear(Type::kRelease, kOther);
   node.Say(Type::kRelease, kTask, Cause::kEnded);
   client.Hear(Type::kRelease, kTask);
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -48,19 +48,20 @@
 TEST_CASE("a message comes whole or not at all, however it is cut") {
   std::string bytes;
   protocol::Writer(&bytes, protocol::Type::kRelease, 0xabcdef0123456789)
-      .Add(protocol::Cause::kFull)
-      .Add(protocol::Code::kNote, "busy");
+      .Add(protocol::Cause::kNoCapacity)
+      .Add(protocol::Code::kDetail, "busy");
   protocol::Message m;
   std::size_t size = 0;
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    CHECK(protocol::Decode(std::string_view(bytes).substr(0, cut), &m, &size) == protocol::Step::kMore);
+    CHECK(protocol::Decode(std::string_view(bytes).substr(0, cut), &m, &size) ==
+          protocol::DecodeStatus::kIncomplete);
   }
-  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::Step::kMessage);
+  REQUIRE(protocol::Decode(bytes, &m, &size) == protocol::DecodeStatus::kMessage);
   CHECK(size == bytes.size());
   CHECK(m.task == 0xabcdef0123456789);
   CHECK(m.CauseOr(-1) == 34);
-  CHECK(m.Get(protocol::Code::kNote) == "busy");
-  CHECK_FALSE(m.Has(protocol::Code::kReport));
+  CHECK(m.Get(protocol::Code::kDetail) == "busy");
+  CHECK_FALSE(m.Has(protocol::Code::kLoadReport));
 }
 
 TEST_CASE("the settings are flattened as the simulator's wire writes them") {
--- a/tests/settings_story_test.cpp
+++ b/tests/settings_story_test.cpp
@@ -24,7 +24,7 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   SUBCASE("dropped") {
     program.Configure(With(program, {Service("safe", "pure"), Service("batch", "pure")}).dump());
     program.Signal(SIGHUP);
@@ -38,7 +38,7 @@
     program.Logged("classes: 0 new, 1 changed, 1 dropped");
   }
   // It may have run: an unsafe task is not tried elsewhere, whatever its class is for others by now.
-  agent.Say(Type::kRelease, kTask, Cause::kReset);
+  agent.Say(Type::kRelease, kTask, Cause::kAborted);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 41);
   CHECK_FALSE(second.Dialled());
   CHECK(FiguresOf(port)["faulted"]["unsafe"] == 1);
@@ -51,9 +51,9 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   program.Configure(With(program, {Service("safe", "pure"), Service("batch", "pure")}).dump());
   program.Signal(SIGHUP);
   program.Logged("classes: 1 new, 0 changed, 2 dropped");
@@ -77,9 +77,9 @@
   Wire owner = program.Owner();
   Ask(&owner, kTask, "batch");
   Wire agent = first.Accept();
-  CHECK(agent.Hear(Type::kSetUp, kTask).class_name == "batch");
+  CHECK(agent.Hear(Type::kTaskRequest, kTask).class_name == "batch");
   agent.Answer(kTask, "here");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   CHECK(FiguresOf(program.admin_port())["fulfilled"]["batch"] == 1);
 }
 
--- a/tests/sites_fleet.h
+++ b/tests/sites_fleet.h
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-#include "zone_failover/sites.h"
+#include "zone_failover/zone_failover.h"
 
 namespace cluster_manager::zone_failover {
 
--- a/tests/sites_plan_test.cpp
+++ b/tests/sites_plan_test.cpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "sites_fleet.h"
 #include "zone_failover/drill.h"
+#include "zone_failover_fleet.h"
 
 namespace cluster_manager::zone_failover {
 namespace {
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -1,7 +1,7 @@
 // The plan for lost sites in virtual time: verdicts and how long they may be wrong, and the pace of returns.
 #include <doctest/doctest.h>
 
-#include "sites_fleet.h"
+#include "zone_failover_fleet.h"
 
 namespace cluster_manager::zone_failover {
 namespace {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -6,7 +6,7 @@
 
 #include <fstream>
 
-#include "agreement_world.h"
+#include "raft_simulation.h"
 #include "store/store_thread.h"
 #include "store_disk.h"
 
@@ -280,7 +280,7 @@
       }
     }
     CHECK(thread.TryAppend(work(5)));
-    thread.Stop(Ending::kDrain);
+    thread.Stop(StopMode::kDrain);
     CHECK_FALSE(thread.TryAppend(work(6)));
     CHECK(thread.TakeDone()->ticket == 5);
     CHECK_FALSE(thread.TakeDone());
@@ -292,7 +292,7 @@
       work.batch.state = State{1, 2, 3, 4};
       CHECK(thread.TryAppend(std::move(work)));
     }
-    std::deque<Work> left = thread.Stop(Ending::kDrop);  // each is written or handed back
+    std::deque<Work> left = thread.Stop(StopMode::kDrop);  // each is written or handed back
     for (std::uint64_t ticket = 1; ticket <= 3; ++ticket) {
       if (const std::optional<Done> done = thread.TakeDone()) {
         CHECK(done->ticket == ticket);
@@ -314,7 +314,7 @@
     work.batch.state = State{1, 2, 3, 4};
     CHECK(thread.TryAppend(std::move(work)));
   }
-  thread.Stop(Ending::kDrain);
+  thread.Stop(StopMode::kDrain);
   for (int i = 0; i < 2; ++i)
     CHECK(thread.TakeDone()->fault.find("no room on the disk") != std::string::npos);
 }
@@ -325,9 +325,9 @@
   if (const auto& s = records.state) batch.state = State{s->identity, s->cluster, s->term, s->vote};
   if (const auto& s = records.snapshot) {
     batch.snapshot = Snapshot{s->index, s->term, consensus::EncodeMembers(s->members), s->state};
-    batch.whole = records.whole;
+    batch.whole = records.replaces_log;
   }
-  batch.first = records.first;
+  batch.first = records.first_index;
   for (const consensus::Entry& e : records.entries) {
     batch.entries.push_back({e.term, static_cast<std::uint8_t>(e.kind), e.bytes});
   }
@@ -337,7 +337,7 @@
 TEST_CASE("store: keeps what the agreement of three members promises, with crashes and snapshots") {
   Disk disk;
   std::string fault;
-  consensus::World world(3, 21);
+  consensus::SimulatedCluster world(3, 21);
   std::map<std::uint32_t, std::unique_ptr<Store>> stores;
   const auto name = [](std::uint32_t i) { return "/ledger-" + std::to_string(i); };
   world.on_save = [&](std::uint32_t i, const consensus::Records& records) {
@@ -346,16 +346,16 @@
   };
   for (int round = 0; round < 60; ++round) {
     for (int i = 0; i < 5; ++i) world.CommitOne(5 * consensus::kSecond);
-    world.Crash(world.Below(3), world.now + 200 * consensus::kMs);
+    world.Crash(world.RandomBelow(3), world.now + 200 * consensus::kMs);
     world.Run(20 * consensus::kMs);
   }
   world.Run(consensus::kSecond);
-  CHECK(world.answers >= 300);
+  CHECK(world.committed_proposals >= 300);
   for (std::uint32_t i = 0; i < 3; ++i) {
     stores[i].reset();
     stores[i] = Store::Open(name(i), Small(), &fault, Disk::kName);
     Content content = stores[i]->TakeContent();
-    const consensus::Durable& kept = world.nodes[i].disk;
+    const consensus::DurableRecords& kept = world.nodes[i].disk;
     Batch all = ToBatch({kept.state, kept.snapshot, true, kept.snapshot.index + 1, kept.entries});
     CHECK(kept.snapshot.index > 0);
     CHECK(content == Content{false, *all.state, *all.snapshot, all.entries, {}});
--- a/tests/story_ends_test.cpp
+++ b/tests/story_ends_test.cpp
@@ -20,15 +20,15 @@
     owner.emplace(program->Owner());
     Ask(&*owner, kTask, "unsafe");
     agent.emplace(first.Accept());
-    agent->Hear(Type::kSetUp, kTask);
+    agent->Hear(Type::kTaskRequest, kTask);
     agent->Answer(kTask, "there");
-    owner->Hear(Type::kAnswer, kTask);
+    owner->Hear(Type::kTaskAccepted, kTask);
     Tell(2, "terminating");
     program->Counted("discovery_events", 1);
     // What is open keeps its connection from being closed as idle.
     Ask(&*owner, kOther, "unsafe");
     other.emplace(second.Accept());
-    other->Hear(Type::kSetUp, kOther);
+    other->Hear(Type::kTaskRequest, kOther);
   }
   void Tell(int number, const std::string& state) {
     feed->Raw("id: 9\ndata: " +
@@ -60,7 +60,7 @@
     agent->Answer(kOther, "noise");
     const auto cut = [&] {
       Heard heard = agent->Hear();
-      while (heard.type == Type::kTest) heard = agent->Hear();
+      while (heard.type == Type::kHealthCheck) heard = agent->Hear();
       return heard;
     }();
     CHECK(cut.type == Type::kRelease);
@@ -77,14 +77,14 @@
   Tell(3, "in_service");
   program->Counted("discovery_events", 2);
   Ask(&*owner, 3, "unsafe");
-  agent->Hear(Type::kSetUp, 3);
+  agent->Hear(Type::kTaskRequest, 3);
   Ask(&*owner, 4, "unsafe");
   Wire beside = first.Accept();
-  beside.Hear(Type::kSetUp, 4);
+  beside.Hear(Type::kTaskRequest, 4);
   agent->Answer(3, "there");
-  owner->Hear(Type::kAnswer, 3);
+  owner->Hear(Type::kTaskAccepted, 3);
   beside.Answer(4, "there");
-  owner->Hear(Type::kAnswer, 4);
+  owner->Hear(Type::kTaskAccepted, 4);
   Tell(4, "terminating");
   program->Counted("discovery_events", 3);
   // A reset may be the sign of a death, and the dials that follow are refused: the old connection is asked.
@@ -93,8 +93,8 @@
   for (int round = 0; round < 3; ++round) {
     program->Logged("dial refused");
     const Heard test = agent->Hear();
-    REQUIRE(test.type == Type::kTest);
-    agent->Say(Type::kTestResult, test.task, Cause::kTestPassed);
+    REQUIRE(test.type == Type::kHealthCheck);
+    agent->Say(Type::kHealthCheckResult, test.task, Cause::kHealthCheckPassed);
   }
   owner->NothingElse();
   agent->Say(Type::kRelease, kTask, Cause::kEnded);
@@ -106,9 +106,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   owner.Close();
   program->Counted("client_closes", 1);
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
@@ -124,15 +124,15 @@
   program->Counted("owed_ends", 1, "size ");
   // Nobody else is there: it stays owed, and goes to the next that comes, who confirms it.
   Wire next = program->Owner();
-  next.Say(Type::kTest, 1, Cause::kTestFailed);
+  next.Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
   // The two come in any order: what is owed waits for no test.
   const Heard one = next.Hear(), two = next.Hear();
-  CHECK((one.type == Type::kTestResult) != (two.type == Type::kTestResult));
+  CHECK((one.type == Type::kHealthCheckResult) != (two.type == Type::kHealthCheckResult));
   const Heard& end = one.type == Type::kRelease ? one : two;
   CHECK(end.type == Type::kRelease);
   CHECK(end.task == kTask);
   CHECK(end.cause == 16);
-  next.Say(Type::kReleaseHeard, kTask);
+  next.Say(Type::kReleaseConfirmed, kTask);
   program->Counted("owed_ends", 0, "size ");
 }
 
@@ -141,17 +141,17 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   Ask(&owner, kOther, "unsafe");
-  agent.Hear(Type::kSetUp, kOther);
+  agent.Hear(Type::kTaskRequest, kOther);
   program->Signal(SIGTERM);
   program->Logged("stopping");
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
   agent.Answer(kOther, "there");
-  owner.Hear(Type::kAnswer, kOther);
+  owner.Hear(Type::kTaskAccepted, kOther);
   CHECK(program->ExitStatus() == 0);
 }
 
@@ -204,18 +204,18 @@
       for (std::size_t i = 0; i < lines.size(); ++i) {
         while (lines[i].Speaks(1)) {
           const Heard offer = lines[i].Hear();
-          if (offer.type == Type::kSetUp) way[offer.task] = i;
+          if (offer.type == Type::kTaskRequest) way[offer.task] = i;
         }
       }
     }
     const auto answer = [&](TaskId task) { lines[way[task]].Answer(task, words); };
     answer(kRunsThroughout);
-    other->Hear(Type::kAnswer, kRunsThroughout);
+    other->Hear(Type::kTaskAccepted, kRunsThroughout);
     answer(kOther);
     lines[way[kOther]].Say(Type::kRelease, kOther, Cause::kEnded);
-    other->Hear(Type::kAnswer, kOther);
+    other->Hear(Type::kTaskAccepted, kOther);
     other->Hear(Type::kRelease, kOther);
-    other->Say(Type::kReleaseHeard, kOther);
+    other->Say(Type::kReleaseConfirmed, kOther);
     answer(kLast);
     for (TaskId id = kLast - before + 1; id < kLast; ++id) answer(id);
     program->Counted("acceptances_sent", static_cast<int>(before) + 2);
@@ -236,7 +236,7 @@
   }
   SUBCASE("the queue outgrows its bound: its connection is closed") { Fill(500, 60); }
   CHECK(other->Hear(Type::kRelease, kLast).cause == 16);
-  other->Say(Type::kReleaseHeard, kLast);
+  other->Say(Type::kReleaseConfirmed, kLast);
   program->Counted("owed_ends", 0, "size ");
 }
 
@@ -245,7 +245,7 @@
   Fill(kMany, kMany);
   for (TaskId answers = 0; answers < kMany; ++answers) {
     const Heard heard = slow->Hear();
-    REQUIRE(heard.type == Type::kAnswer);
+    REQUIRE(heard.type == Type::kTaskAccepted);
     CHECK((heard.description == words));
   }
   CHECK(slow->Hear(Type::kRelease, kLast).cause == 16);
@@ -264,7 +264,7 @@
     for (std::size_t i = 0; i < lines.size(); ++i) {
       while (lines[i].Speaks(1)) {
         const Heard offer = lines[i].Hear();
-        if (offer.type != Type::kSetUp) continue;
+        if (offer.type != Type::kTaskRequest) continue;
         lines[i].Answer(offer.task, "there");
         way[offer.task] = i;
       }
@@ -281,7 +281,7 @@
     patience.Check();
     hear_nodes();
   }
-  for (TaskId id = 1; id <= kMany; ++id) owners[id - 1].Hear(Type::kAnswer, id);
+  for (TaskId id = 1; id <= kMany; ++id) owners[id - 1].Hear(Type::kTaskAccepted, id);
   // Half of the ends are on their way to owners that never read them, half come when no owner is left.
   for (TaskId id = 1; id <= kMany / 2; ++id) lines[way[id]].Say(Type::kRelease, id, Cause::kEnded);
   for (TaskId id = 1; id <= kMany / 2; ++id) REQUIRE(owners[id - 1].Readable(kLimitMs));
@@ -305,7 +305,7 @@
     if (heard.type != Type::kRelease) continue;
     CHECK(heard.cause == 16);
     told.insert(heard.task);
-    next.Say(Type::kReleaseHeard, heard.task);
+    next.Say(Type::kReleaseConfirmed, heard.task);
   }
   program->Counted("owed_ends", 0, "size ");
 }
@@ -346,7 +346,7 @@
       for (Wire& line : lines) {
         while (line.Speaks(1)) {
           const Heard heard = line.Hear();
-          if (heard.type != Type::kSetUp) continue;
+          if (heard.type != Type::kTaskRequest) continue;
           line.Answer(heard.task, "up");
           line.Say(Type::kRelease, heard.task, Cause::kEnded);
           ++ended;
--- a/tests/story_operated.h
+++ b/tests/story_operated.h
@@ -13,8 +13,8 @@
 namespace cluster_manager::story {
 
 inline bool Passes(Wire* owner) {
-  owner->Say(Type::kTest, 1, Cause::kTestFailed);
-  return owner->Hear(Type::kTestResult, 1).cause == 1;
+  owner->Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
+  return owner->Hear(Type::kHealthCheckResult, 1).cause == 1;
 }
 
 struct Operated {
--- a/tests/story_owners_test.cpp
+++ b/tests/story_owners_test.cpp
@@ -28,7 +28,7 @@
   CHECK(again.Bytes().find("Last-Event-ID: 2\r\n") != std::string::npos);
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");  // what was told still holds: the first node drains
-  second.Accept().Hear(Type::kSetUp, kTask);
+  second.Accept().Hear(Type::kTaskRequest, kTask);
 }
 
 TEST_CASE_FIXTURE(Site, "what is malformed closes its own connection and nothing else") {
@@ -83,13 +83,13 @@
   Wire owner = program->Owner(), bad = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   AskAs(&bad, kTask, {.description = "another"});
   CHECK(bad.Hear(Type::kRelease, kTask).cause == 47);
   bad.Say(Type::kRelease, kTask, Cause::kEnded);  // nor can it give up what is not its own
   bad.NothingElse();
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   Ask(&bad, kTask, "unsafe");  // it stands already
   CHECK(bad.Hear(Type::kRelease, kTask).cause == 47);
   bad.Say(Type::kRelease, kOther, Cause::kEnded);
@@ -103,21 +103,21 @@
   Wire owner = program->Owner(), silent = program->Owner(), half = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   half.Raw(std::string("\0\x20\1", 3));
   CHECK(half.Closed());
   CHECK(silent.Closed());
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "an answer just written survives the close for what came behind it") {
   Start();
   Wire bad = program->Owner();
   std::string bytes;
-  protocol::Writer(&bytes, Type::kTest, kTask).Add(Cause::kTestFailed);
+  protocol::Writer(&bytes, Type::kHealthCheck, kTask).Add(Cause::kHealthCheckFailed);
   bad.Raw(bytes + "\xff\xff" + std::string(60'000, 'x'));  // more than is read in a turn
-  bad.Hear(Type::kTestResult, kTask);
+  bad.Hear(Type::kHealthCheckResult, kTask);
   CHECK(bad.Closed());
 }
 
@@ -129,8 +129,8 @@
   }
   Wire agent = first.Accept(), another = first.Accept();
   for (Wire* wire : {&agent, &another}) wire->Answer(wire->Hear().task, "there");
-  other.Hear(Type::kAnswer, kOther);
-  owner.Hear(Type::kAnswer, kTask);
+  other.Hear(Type::kTaskAccepted, kOther);
+  owner.Hear(Type::kTaskAccepted, kTask);
   owner.NothingElse();  // the last heard of: its release is due here
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   REQUIRE(owner.Readable(kLimitMs));
@@ -145,9 +145,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   CHECK(silent.front().Closed());
 }
 
@@ -162,7 +162,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   program->Counted("discovery_events", 1);
   json config = program->config();
   program->Configure("{\"name\":");
@@ -175,7 +175,7 @@
   CHECK(feed.Closed());
   CHECK(moved.Accept().Bytes().find("Last-Event-ID: 2\r\n") != std::string::npos);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "a connection whose set-up has arrived is not the one that makes room for others") {
@@ -192,9 +192,9 @@
   for (int i = 0; i < 3; ++i) others.push_back(program->Owner());
   program->Signal(SIGCONT);
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "running out of descriptors delays owners and loses none") {
@@ -211,17 +211,17 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   program->Signal(SIGTERM);
   program->Logged("stopping");
   Wire late = program->Owner();
   Ask(&late, kOther, "unsafe");
   Wire another = first.Accept();
-  another.Hear(Type::kSetUp, kOther);
+  another.Hear(Type::kTaskRequest, kOther);
   another.Answer(kOther, "there");
-  late.Hear(Type::kAnswer, kOther);
+  late.Hear(Type::kTaskAccepted, kOther);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   CHECK(program->Logged("counter requests_received ") == "2");
   CHECK(program->ExitStatus() == 0);
   CHECK(agent.Closed());  // and was told of no cut: tasks that stand live on
@@ -247,14 +247,14 @@
   std::map<std::size_t, std::string> together;
   const auto words = [](TaskId id) { return std::string(16'000, static_cast<char>('a' + id)); };
   for (const auto& [id, line] : way) {
-    protocol::Writer(&together[line], Type::kAnswer, id).Add(Code::kDescription, words(id));
+    protocol::Writer(&together[line], Type::kTaskAccepted, id).Add(Code::kDescription, words(id));
   }
   for (const auto& [line, bytes] : together) {
     for (std::size_t at = 0; at < bytes.size(); at += 9'973) lines[line].Raw(bytes.substr(at, 9'973));
   }
   for (TaskId i = 0; i < kMany; ++i) {
     const Heard heard = owner.Hear();
-    CHECK(heard.type == Type::kAnswer);
+    CHECK(heard.type == Type::kTaskAccepted);
     CHECK((heard.description == words(heard.task)));  // no need to see it
     way.erase(heard.task);
   }
@@ -282,7 +282,7 @@
     for (Wire& line : lines) {
       if (!line.Speaks(2)) continue;
       const Heard heard = line.Hear();  // in pieces, as they come
-      CHECK(heard.type == Type::kSetUp);
+      CHECK(heard.type == Type::kTaskRequest);
       CHECK((heard.description == words(heard.task)));
       CHECK(seen.insert(heard.task).second);
     }
--- a/tests/story_peers.h
+++ b/tests/story_peers.h
@@ -105,7 +105,7 @@
     Say(type, task, [cause](protocol::Writer& w) { w.Add(cause); });
   }
   void Answer(TaskId task, std::string_view description) {
-    Say(Type::kAnswer, task, [&](protocol::Writer& w) { w.Add(Code::kDescription, description); });
+    Say(Type::kTaskAccepted, task, [&](protocol::Writer& w) { w.Add(Code::kDescription, description); });
   }
   bool Readable(int ms = 0) const {
     pollfd wait{socket_, POLLIN, 0};
@@ -115,7 +115,7 @@
   bool Speaks(int ms) const {
     protocol::Message m;
     std::size_t size = 0;
-    return protocol::Decode(in_, &m, &size) == protocol::Step::kMessage || Readable(ms);
+    return protocol::Decode(in_, &m, &size) == protocol::DecodeStatus::kMessage || Readable(ms);
   }
   // More bytes; empty where the other side has closed.
   std::string Bytes() {
@@ -128,7 +128,7 @@
   Heard Hear() {
     protocol::Message m;
     std::size_t size = 0;
-    while (protocol::Decode(in_, &m, &size) != protocol::Step::kMessage) {
+    while (protocol::Decode(in_, &m, &size) != protocol::DecodeStatus::kMessage) {
       const std::string more = Bytes();
       REQUIRE_MESSAGE(!more.empty(), "closed before a message came");
       in_ += more;
@@ -138,11 +138,11 @@
                       m.task,
                       m.CauseOr(-1),
                       text(Code::kClass),
-                      text(Code::kWait),
+                      text(Code::kTimeoutMs),
                       text(Code::kName),
-                      text(Code::kKey),
+                      text(Code::kIdempotencyKey),
                       text(Code::kDescription),
-                      text(Code::kStayAway)};
+                      text(Code::kRetryAfterMs)};
     in_.erase(0, size);
     return heard;
   }
@@ -155,8 +155,8 @@
   // Nothing was said before the answer to this test: what the program owes in order, it has written.
   void NothingElse() {
     const TaskId mark = 0xfeedULL << 32;
-    Say(Type::kTest, mark, Cause::kTestFailed);
-    Hear(Type::kTestResult, mark);
+    Say(Type::kHealthCheck, mark, Cause::kHealthCheckFailed);
+    Hear(Type::kHealthCheckResult, mark);
   }
 
  private:
--- a/tests/story_site.h
+++ b/tests/story_site.h
@@ -13,17 +13,17 @@
   std::string figures = "cores:1;memory:2;service:0b", key = "", description = std::string("run\0this", 8);
 };
 inline void AskAs(Wire* owner, TaskId task, const Asked& a) {
-  owner->Say(Type::kSetUp, task, [&](protocol::Writer& w) {
-    w.Add(Code::kClass, a.class_name).Add(Code::kWait, a.wait).Add(Code::kTenant, a.tenant);
-    w.Add(Code::kName, a.name).Add(Code::kFigures, a.figures);
-    if (!a.key.empty()) w.Add(Code::kKey, a.key);
+  owner->Say(Type::kTaskRequest, task, [&](protocol::Writer& w) {
+    w.Add(Code::kClass, a.class_name).Add(Code::kTimeoutMs, a.wait).Add(Code::kTenant, a.tenant);
+    w.Add(Code::kName, a.name).Add(Code::kResources, a.figures);
+    if (!a.key.empty()) w.Add(Code::kIdempotencyKey, a.key);
     w.Add(Code::kDescription, a.description);
   });
 }
 // A set-up as owners send it.
 inline void Ask(Wire* owner, TaskId task, const std::string& class_name, int wait_ms = 25'000,
                 const std::string& more = "") {
-  Asked a{class_name, std::to_string(wait_ms), "shop one", protocol::TaskText(task + 7)};
+  Asked a{class_name, std::to_string(wait_ms), "shop one", protocol::FormatTaskId(task + 7)};
   a.figures += more;
   if (class_name == "keyed") a.key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
   AskAs(owner, task, a);
--- a/tests/story_test.cpp
+++ b/tests/story_test.cpp
@@ -9,11 +9,11 @@
 TEST_CASE_FIXTURE(Site, "a task is passed on unchanged, stands, and is released when it ends") {
   Start();
   Wire owner = program->Owner();
-  owner.Say(Type::kTest, 1, Cause::kTestFailed);
-  CHECK(owner.Hear(Type::kTestResult, 1).cause == 1);
+  owner.Say(Type::kHealthCheck, 1, Cause::kHealthCheckFailed);
+  CHECK(owner.Hear(Type::kHealthCheckResult, 1).cause == 1);
   Ask(&owner, kTask, "keyed");
   Wire agent = first.Accept();
-  const Heard offer = agent.Hear(Type::kSetUp, kTask);
+  const Heard offer = agent.Hear(Type::kTaskRequest, kTask);
   CHECK(offer.class_name == "keyed");
   CHECK(offer.name == "7f3a9c21e0b4d65c");
   CHECK(offer.key == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
@@ -21,7 +21,7 @@
   CHECK(std::stoi(offer.wait) > 0);
   CHECK(std::stoi(offer.wait) <= 25'000);
   agent.Answer(kTask, std::string("up\0here", 7));
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == std::string("up\0here", 7));
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == std::string("up\0here", 7));
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
 }
@@ -31,7 +31,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "safe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 16);
   owner.NothingElse();
@@ -44,9 +44,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = second.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
 }
 
 TEST_CASE_FIXTURE(Site, "a connection that ends before the answer proves nothing: an unsafe task fails") {
@@ -54,7 +54,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   SUBCASE("closed") { agent.Close(); }
   SUBCASE("reset") { agent.Reset(); }
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 41);
@@ -68,16 +68,16 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Say(Type::kRelease, kTask, [](protocol::Writer& w) {
-    w.Add(Cause::kFull).Add(Code::kNote, "busy").Add(Code::kReport, "x0:1;x1:2;queue:9");
+    w.Add(Cause::kNoCapacity).Add(Code::kDetail, "busy").Add(Code::kLoadReport, "x0:1;x1:2;queue:9");
   });
   Wire next = second.Accept();
-  next.Hear(Type::kSetUp, kTask);
+  next.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "late");
   program->Counted("node_replies_unmatched", 1);  // its answer has been read by now
   next.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   owner.NothingElse();
 }
 
@@ -87,13 +87,13 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   std::string moot;
-  protocol::Writer(&moot, Type::kRelease, kTask).Add(Cause::kMoot);
+  protocol::Writer(&moot, Type::kRelease, kTask).Add(Cause::kNotStarted);
   agent.Raw(moot + moot);
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
   program->Counted("attempts_sent", 2);
 }
 
@@ -107,7 +107,7 @@
   one.Reset();
   CHECK(owner.Hear(Type::kRelease, lost).cause == 41);
   other.Answer(kept, "there");
-  CHECK(owner.Hear(Type::kAnswer, kept).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kept).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "a dial that never comes up sends its set-up elsewhere, not on a silent connection") {
@@ -115,13 +115,13 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   first.Clog();
   Ask(&owner, kOther, "unsafe");
   Wire next = second.Accept();
-  next.Hear(Type::kSetUp, kOther);
+  next.Hear(Type::kTaskRequest, kOther);
   next.Answer(kOther, "there");
-  CHECK(owner.Hear(Type::kAnswer, kOther).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kOther).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "a spoilt answer ends its attempt at once and is nobody's answer") {
@@ -129,12 +129,12 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   std::string answer;
-  protocol::Writer(&answer, Type::kAnswer, kTask).Add(Code::kDescription, "there");
+  protocol::Writer(&answer, Type::kTaskAccepted, kTask).Add(Code::kDescription, "there");
   SUBCASE("it stops short") { agent.Raw(answer.substr(0, answer.size() - 2)); }
   SUBCASE("it claims more than comes") { agent.Raw("\x0f\xff" + answer.substr(2)); }
-  SUBCASE("no description") { agent.Say(Type::kAnswer, kTask); }
+  SUBCASE("no description") { agent.Say(Type::kTaskAccepted, kTask); }
   SUBCASE("an empty description") { agent.Answer(kTask, ""); }
   SUBCASE("noise") { agent.Raw(std::string("\0\x0b\x77whatever it is", 17)); }
   SUBCASE("a release without a cause") { agent.Say(Type::kRelease, kTask); }
@@ -165,13 +165,13 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "safe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   Wire next = second.Accept();
-  next.Hear(Type::kSetUp, kTask);
+  next.Hear(Type::kTaskRequest, kTask);
   REQUIRE(agent.Readable());
   CHECK(agent.Hear(Type::kRelease, kTask).cause == 16);
   next.Answer(kTask, "there");
-  CHECK(owner.Hear(Type::kAnswer, kTask).description == "there");
+  CHECK(owner.Hear(Type::kTaskAccepted, kTask).description == "there");
 }
 
 TEST_CASE_FIXTURE(Site, "what its owner gives up is given up at the agent and owed no answer") {
@@ -179,7 +179,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   SUBCASE("by a release") { owner.Say(Type::kRelease, kTask, Cause::kEnded); }
   SUBCASE("by closing") {
     owner.Close();
@@ -206,9 +206,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   Wire another = program->Owner();  // any connection does
   another.Say(Type::kRelease, kTask, Cause::kEnded);
   CHECK(agent.Hear(Type::kRelease, kTask).cause == 31);
@@ -227,9 +227,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   agent.Close();
   agent = first.Accept();
   owner.NothingElse();
@@ -247,9 +247,9 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   first.Close();
   agent.Reset();
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 41);
@@ -262,7 +262,7 @@
   Ask(&owner, kTask, "unsafe", 1000, ";at:s-00000002");
   Wire agent = second.Accept();  // a way is opened, so that the end can be heard
   owner.NothingElse();
-  agent.Say(Type::kRelease, kTask, Cause::kReset);
+  agent.Say(Type::kRelease, kTask, Cause::kAborted);
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 41);
   owner.NothingElse();
 }
@@ -272,7 +272,7 @@
   Wire owner = program->Owner();
   Ask(&owner, kOther, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kOther);
+  agent.Hear(Type::kTaskRequest, kOther);
   // Its own cluster manager is gone: the node tells whoever has a connection open.
   agent.Say(Type::kRelease, kTask, Cause::kEnded);
   program->Counted("node_replies_unmatched", 1);
@@ -289,16 +289,16 @@
   Wire owner = program->Owner();
   Ask(&owner, kTask, "unsafe");
   Wire agent = first.Accept();
-  agent.Hear(Type::kSetUp, kTask);
+  agent.Hear(Type::kTaskRequest, kTask);
   agent.Answer(kTask, "there");
-  owner.Hear(Type::kAnswer, kTask);
+  owner.Hear(Type::kTaskAccepted, kTask);
   const json change = Event(
       2, {Node("s-00000001", first.endpoint(), 10, "terminated"), Node("s-00000003", first.endpoint(), 10)});
   feed.Raw("id: 2\ndata: " + change.dump() + "\n\n");
   CHECK(owner.Hear(Type::kRelease, kTask).cause == 41);
   Ask(&owner, kOther, "unsafe");
   Wire heir = first.Accept();
-  heir.Hear(Type::kSetUp, kOther);
+  heir.Hear(Type::kTaskRequest, kOther);
 }
 
 }  // namespace
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -56,7 +56,7 @@
         expected.clear();
         ++tally.batches;
       }
-      host.Line(text);
+      host.ProcessLine(text);
     } else if (Compared(text)) {
       expected.push_back(text);
       tally.offers += text.starts_with("claim_room\t");
--- a/tests/structures_test.cpp
+++ b/tests/structures_test.cpp
@@ -17,7 +17,7 @@
 namespace cluster_manager {
 namespace {
 
-using Rooms = RatioIndex::Rooms;
+using Rooms = RatioIndex::Capacities;
 
 // The plain way: every entry looked at, then sorted.
 class PlainRatio {
@@ -77,7 +77,7 @@
                      static_cast<double>(random() % 30), static_cast<double>(random() % 50)};
     const auto expected = plain.Ascending(extra, need);
     std::vector<std::uint32_t> met;
-    index.Ascend(extra, need, [&](std::uint32_t slot) {
+    index.VisitAscending(extra, need, [&](std::uint32_t slot) {
       met.push_back(slot);
       return true;
     });
@@ -101,7 +101,7 @@
   for (int round = 0; round < 600; ++round) {
     const double extra = std::exp2(static_cast<double>(2 + random() % 6));  // as its lists have it
     std::vector<std::uint32_t> met;
-    const bool stopped = index.Least(extra, {}, [&](std::uint32_t slot) {
+    const bool stopped = index.VisitLeast(extra, {}, [&](std::uint32_t slot) {
       met.push_back(slot);
       return met.size() < 8;
     });
@@ -130,16 +130,16 @@
   std::mt19937 random(3);
   RatioIndex index;
   for (std::uint32_t slot = 0; slot < 4000; ++slot) index.Set(slot, Random(&random));
-  const std::uint64_t before = index.looked();
+  const std::uint64_t before = index.examined();
   const auto none = [](std::uint32_t) {
     FAIL("met something");
     return true;
   };
   for (int i = 0; i < 100; ++i) {
-    CHECK_FALSE(index.Least(30, {101, 0, 0, 0}, none));
-    index.Ascend(30, {0, 97, 0, 0}, none);
+    CHECK_FALSE(index.VisitLeast(30, {101, 0, 0, 0}, none));
+    index.VisitAscending(30, {0, 97, 0, 0}, none);
   }
-  CHECK(index.looked() - before <= 200);
+  CHECK(index.examined() - before <= 200);
 }
 
 TEST_CASE("a search among alike slots looks at few of many") {
@@ -149,18 +149,18 @@
     const double used = 20 + 0.001 * static_cast<double>(random() % 4000);
     index.Set(slot, {used, 60 - used, {100 - used, 96 - used, 40, 40}});
   }
-  std::uint64_t before = index.looked();
+  std::uint64_t before = index.examined();
   int met = 0;
-  index.Ascend(15, {1, 1, 1, 1}, [&](std::uint32_t) { return ++met < 8; });
-  CHECK(index.looked() - before < 500);
-  index.Least(15, {1, 1, 1, 1}, [](std::uint32_t) { return false; });  // makes the list
-  before = index.looked();
+  index.VisitAscending(15, {1, 1, 1, 1}, [&](std::uint32_t) { return ++met < 8; });
+  CHECK(index.examined() - before < 500);
+  index.VisitLeast(15, {1, 1, 1, 1}, [](std::uint32_t) { return false; });  // makes the list
+  before = index.examined();
   met = 0;
-  CHECK(index.Least(15, {1, 1, 1, 1}, [&](std::uint32_t) { return ++met < 8; }));
-  CHECK(index.looked() - before < 100);
+  CHECK(index.VisitLeast(15, {1, 1, 1, 1}, [&](std::uint32_t) { return ++met < 8; }));
+  CHECK(index.examined() - before < 100);
   index.Reset();
   CHECK(index.size() == 0);
-  index.Ascend(0, {}, [](std::uint32_t) {
+  index.VisitAscending(0, {}, [](std::uint32_t) {
     FAIL("an empty index met something");
     return true;
   });
@@ -171,18 +171,18 @@
   RatioIndex index;
   std::mt19937 random(6);
   for (std::uint32_t slot = 0; slot < 10; ++slot) index.Set(slot, Random(&random));
-  index.Least(15, {}, [](std::uint32_t) { return false; });
+  index.VisitLeast(15, {}, [](std::uint32_t) { return false; });
   for (std::uint32_t slot = 10; slot < 4000; ++slot) index.Set(slot, Random(&random));
-  index.Least(15, {}, [](std::uint32_t) { return false; });  // makes it anew
-  const std::uint64_t before = index.looked();
-  index.Least(15, {}, [](std::uint32_t) { return false; });
-  CHECK(index.looked() - before < 100);
+  index.VisitLeast(15, {}, [](std::uint32_t) { return false; });  // makes it anew
+  const std::uint64_t before = index.examined();
+  index.VisitLeast(15, {}, [](std::uint32_t) { return false; });
+  CHECK(index.examined() - before < 100);
 }
 
 TEST_CASE("blocks are shared, used again, and kept within a bound") {
   BlockPool pool;
   {
-    BlockPool::Ref first = pool.Make(5);
+    BlockPool::Ref first = pool.Allocate(5);
     first.Append("hello");
     BlockPool::Ref other = first;
     first = {};
@@ -191,7 +191,7 @@
     const char* at = other.data();
     other = {};
     CHECK(pool.live() == 0);
-    BlockPool::Ref again = pool.Make(200);
+    BlockPool::Ref again = pool.Allocate(200);
     CHECK(again.data() == at);
     CHECK(again.size() == 0);
     other = again;
@@ -200,19 +200,19 @@
     CHECK(pool.live() == 1);
   }
   std::vector<BlockPool::Ref> many;
-  for (int i = 0; i < 400; ++i) many.push_back(pool.Make(i % 3 == 0 ? 100 : i % 3 == 1 ? 4000 : 60'000));
+  for (int i = 0; i < 400; ++i) many.push_back(pool.Allocate(i % 3 == 0 ? 100 : i % 3 == 1 ? 4000 : 60'000));
   CHECK(pool.live() == 400);
   many[2].Append(std::string(70'000, 'x'));
   CHECK(many[2].size() == 60'000);  // never more than its room
   many.clear();
   CHECK(pool.live() == 0);
-  CHECK(pool.idle_bytes() <= BlockPool::kMostIdleBytes);
+  CHECK(pool.idle_bytes() <= BlockPool::kMaxIdleBytes);
   CHECK(pool.idle_bytes() > 0);
 }
 
 TEST_CASE("a table by name does what a map does, and gives memory back") {
   std::mt19937_64 random(9);
-  NamedTable<std::uint64_t, std::uint64_t> table;
+  KeyedTable<std::uint64_t, std::uint64_t> table;
   std::map<std::uint64_t, std::uint64_t> plain;
   for (int i = 0; i < 20'000; ++i) {
     const std::uint64_t key = random() % 500 * 0x100000000;  // alike in their low bits
@@ -237,7 +237,7 @@
   for (std::uint64_t i = 0; i < 10'000; ++i) wide[i] = 1;
   const std::size_t before = wide.bucket_count();
   for (std::uint64_t i = 10; i < 10'000; ++i) wide.erase(i);
-  Tighten(&wide);
+  ShrinkIfSparse(&wide);
   CHECK(wide.bucket_count() < before / 100);
   CHECK(wide.size() == 10);
   CHECK(wide.at(7) == 1);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -106,7 +106,7 @@
       {"destroy\t8\n", "line 6: destroy: Who: no instance 8"},
       {"catalog\t0\t2\nover_to_you\n", "line 7: over_to_you: MembersList: "},
       {"catalog\t0\t1\nm\t16\t1\t0\t0\t0\t-\t9\t8\t1\n", "line 7: m: State: "},
-      {"begin\t5\t1\tServices.count=1\n", "line 6: begin: Params: no node kind has cores"},
+      {"begin\t5\t1\tServices.count=1\n", "line 6: begin: Params: settings define no node kind"},
       {"begin\t5\t1\tServices.count=many\n", "line 6: begin: Services.count: not a count"},
   };
   for (const auto& [line, expected] : cases) {
