--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -181,7 +181,7 @@
 }
 
 // Serves, and prints the error if that fails.
-int ServeAndReport(const Files& files) {
+int ServeAndReport(const ServerFiles& files) {
   try {
     return Serve(files);
   } catch (const std::exception& error) {
@@ -197,14 +197,14 @@
   std::vector<std::string> paths;
   bool write = false;
   bool check_only = false;
-  Files files;
+  ServerFiles files;
   SitesArguments sites;
   int exit = kSuccess;
 };
 
 void AddServe(CLI::App* app, Options* options) {
   CLI::App* serve = app->add_subcommand("serve", "serve, the default without a command");
-  serve->add_option("--sites", options->files.sites,
+  serve->add_option("--sites", options->files.zone_failover_plan,
                     "the plan of zone failover, for example deploy/sites.json");
   serve->callback([options] { options->exit = ServeAndReport(options->files); });
 }
--- a/src/clients/client_frontend.cpp
+++ b/src/clients/client_frontend.cpp
@@ -49,9 +49,9 @@
 // Makes no further system call for a connection whose input was found unread in this loop iteration, since
 // many connections may be accepted in one iteration. Such input stays unread until a later iteration.
 bool ClientFrontend::HasUnreadInput(ClientConnection* client) {
-  if (client->unread_in_iteration == loop_->turn()) return true;
-  if (!client->transport->Unread()) return false;
-  client->unread_in_iteration = loop_->turn();
+  if (client->unread_in_iteration == loop_->iteration()) return true;
+  if (!client->transport->HasUnreadBytes()) return false;
+  client->unread_in_iteration = loop_->iteration();
   return true;
 }
 
@@ -62,7 +62,7 @@
   connections_.ForEach([&](Handle handle, ClientConnection& client) {
     // Reading is paused while the client does not read its replies, so a disconnect is detected here.
     Connection& transport = *client.transport;
-    if (transport.paused() && transport.LookAhead() == Incoming::kEnd) transport.ReadToEnd();
+    if (transport.IsReadingPaused() && transport.PeekInput() == InputState::kEnd) transport.ReadToEnd();
     if (client.HasFinishedClosing(now)) finished_closing.push_back(handle);
     if (!client.IsClosing() && client.ShouldClose(now)) timed_out.push_back(handle);
   });
@@ -79,13 +79,13 @@
 
 // Queued replies are still sent to the client; its unanswered requests are cancelled. With Rest::kReadOn, a
 // release of a running task that the client has sent before it sees the close is still read.
-void ClientFrontend::CloseGracefully(Handle handle, Connection::Rest rest) {
+void ClientFrontend::CloseGracefully(Handle handle, Connection::InputMode rest) {
   ClientConnection* client = connections_.Get(handle);
   if (client == nullptr || client->IsClosing()) return;
   ++counters.client_closed_gracefully;
   client->OnClose(loop_->Now());
   const std::vector<TaskId> unanswered = std::exchange(client->unanswered_requests, {});
-  client->transport->Finish(rest);
+  client->transport->ShutdownAfterFlush(rest);
   for (const TaskId id : unanswered) events_->OnClientDisconnected(id, handle);
 }
 
@@ -113,17 +113,17 @@
   bool malformed = false;
   const std::size_t consumed = protocol::DecodeAll(data, &malformed, [&](const Message& message) {
     malformed = !HandleMessage(transport, message);
-    return !malformed && transport.open() && transport.reads();
+    return !malformed && transport.open() && transport.IsReading();
   });
   if (malformed && transport.open()) {
     ++counters.malformed;
     Log("client: malformed message, closing the connection");
-    CloseGracefully(transport.tag, Connection::Rest::kReadNoMore);
+    CloseGracefully(transport.tag, Connection::InputMode::kStopReading);
   }
   return consumed;
 }
 
-void ClientFrontend::OnEnd(Connection& transport, Ending) { RemoveConnection(transport.tag); }
+void ClientFrontend::OnClosed(Connection& transport, CloseReason) { RemoveConnection(transport.tag); }
 
 // Pending completions are ignored if no client is connected, since they cannot be sent. False while the first
 // valid request of a client that has just connected may be in flight.
@@ -133,13 +133,13 @@
   bool any_connected = false;
   connections_.ForEach([&](Handle, const ClientConnection& client) {
     const Connection& transport = *client.transport;
-    quiescent = quiescent && transport.flushed() && !transport.BackedUp();
+    quiescent = quiescent && transport.flushed() && !transport.HasUnsentBytes();
     if (client.IsClosing()) return;
     any_connected = true;
     const bool first_request_expected =
         !client.HasSentValidRequest() && now - client.connected_at < kFirstRequestGrace;
-    const bool in_message = transport.unfinished_since > 0;
-    quiescent = quiescent && !first_request_expected && !in_message && !transport.Unread();
+    const bool in_message = transport.incomplete_message_since > 0;
+    quiescent = quiescent && !first_request_expected && !in_message && !transport.HasUnreadBytes();
   });
   return quiescent && (completions_.pending_count() == 0 || !any_connected);
 }
--- a/src/clients/client_messages.cpp
+++ b/src/clients/client_messages.cpp
@@ -59,7 +59,7 @@
 void ClientFrontend::HandleHealthCheck(Connection& transport, TaskId id) {
   ++counters.client_health_checks_answered;
   const bool passed = accept_mode_ == AcceptMode::kOpen || accept_mode_ == AcceptMode::kHandingOver;
-  Writer(transport.out(), Type::kHealthCheckResult, id)
+  Writer(transport.write_queue(), Type::kHealthCheckResult, id)
       .Add(passed ? Cause::kHealthCheckPassed : Cause::kHealthCheckFailed);
   connections_.Get(transport.tag)->OnValidRequest();
 }
@@ -78,7 +78,7 @@
       return true;
     case RequestResult::kRejected:
       ++counters.requests_refused_as_duplicate;
-      Writer(transport.out(), Type::kRelease, message.task).Add(Cause::kError);
+      Writer(transport.write_queue(), Type::kRelease, message.task).Add(Cause::kError);
       return true;
     case RequestResult::kProtocolError:
       return false;
--- a/src/clients/client_replies.cpp
+++ b/src/clients/client_replies.cpp
@@ -32,14 +32,14 @@
   ClientConnection* client = connections_.Get(client_connection);
   if (client == nullptr || client->IsClosing()) return false;  // its requests are being cancelled
   Connection& transport = *client->transport;
-  switch (transport.LookAhead()) {
-    case Incoming::kNothing:
+  switch (transport.PeekInput()) {
+    case InputState::kNone:
       return true;
-    case Incoming::kBytes:
+    case InputState::kBytes:
       // Waits only for the bytes that had arrived by the first call, since a client may keep sending.
       if (*read_by == 0) *read_by = transport.bytes_read() + transport.UnreadBytes();
       return transport.bytes_read() >= *read_by;
-    case Incoming::kEnd:
+    case InputState::kEnd:
       transport.ReadToEnd();  // also while reading is paused, so that the end is processed
       return false;
   }
@@ -50,7 +50,7 @@
   Connection* transport = FinishRequest(client_connection, id);
   if (transport == nullptr) return;
   ++counters.acceptances_sent;
-  Writer(transport->out(), Type::kTaskAccepted, id).Add(Code::kDescription, description);
+  Writer(transport->write_queue(), Type::kTaskAccepted, id).Add(Code::kDescription, description);
   MarkServed(connections_.Get(client_connection));
 }
 
@@ -58,7 +58,7 @@
   Connection* transport = FinishRequest(client_connection, id);
   if (transport == nullptr) return;
   ++counters.rejections_sent;
-  Writer message(transport->out(), Type::kRelease, id);
+  Writer message(transport->write_queue(), Type::kRelease, id);
   message.Add(Cause::kRejected);
   if (retry_after > 0) message.Add(Code::kRetryAfterMs, (retry_after + kMs - 1) / kMs);
 }
@@ -68,7 +68,7 @@
   if (transport == nullptr) return;
   ++counters.failures_sent;
   const Cause cause = task_end == TaskEnd::kCompleted ? Cause::kEnded : Cause::kAborted;
-  Writer(transport->out(), Type::kRelease, id).Add(cause);
+  Writer(transport->write_queue(), Type::kRelease, id).Add(cause);
 }
 
 }  // namespace cluster_manager
--- a/src/nodes/attempt_sending.cpp
+++ b/src/nodes/attempt_sending.cpp
@@ -29,7 +29,7 @@
   const Connection& connection = *node_connection.transport;
   if (!connection.up()) return false;
   if (loop_->Now() - connection.last_traffic >= timeouts_.keepalive - kIdleCloseMargin) return false;
-  return connection.LookAhead() != Incoming::kEnd;
+  return connection.PeekInput() != InputState::kEnd;
 }
 
 // The connection to write to: responsive ones are preferred to suspect ones, then those with the fewest
@@ -107,17 +107,17 @@
   if (IsDebugLogged()) {
     LogDebug("attempt %llu: written to node %u at %s, loop iteration %llu",
              static_cast<unsigned long long>(queued.attempt), node_connection->node,
-             AddressText(record->address).c_str(), static_cast<unsigned long long>(loop_->turn()));
+             AddressText(record->address).c_str(), static_cast<unsigned long long>(loop_->iteration()));
   }
-  record->sent_attempts[queued.id] = {queued.attempt, node_connection->transport->tag, loop_->turn()};
+  record->sent_attempts[queued.id] = {queued.attempt, node_connection->transport->tag, loop_->iteration()};
   ++node_connection->unanswered_attempts;
   Connection* connection = node_connection->transport.get();
   const auto& [bytes, class_end] = queued.payload;
   const Time remaining_ms = std::max<Time>(1, (queued.deadline - loop_->Now()) / kMs);
-  Writer message(connection->out(), Type::kTaskRequest, queued.id);
-  connection->Refer(bytes, 0, class_end);
+  Writer message(connection->write_queue(), Type::kTaskRequest, queued.id);
+  connection->AppendBlock(bytes, 0, class_end);
   message.AddExternalBytes(bytes.size()).Add(Code::kTimeoutMs, remaining_ms);
-  connection->Refer(bytes, class_end, bytes.size());
+  connection->AppendBlock(bytes, class_end, bytes.size());
 }
 
 void NodeConnectionPool::DeferAttempt(NodeId node, const QueuedAttempt& queued) {
@@ -178,13 +178,13 @@
   --node_connection->unanswered_attempts;
   ++counters.attempt_cancellations_sent;
   Connection* connection = node_connection->transport.get();
-  Writer(connection->out(), Type::kRelease, id).Add(Cause::kEnded);
+  Writer(connection->write_queue(), Type::kRelease, id).Add(Cause::kEnded);
   // Written immediately, so that the next attempt cannot reach its node first. Where the socket accepts no
   // more bytes, the connection is closed, which cancels all unanswered attempts on it.
   connection->Flush();
   if (connection->open() && !connection->flushed()) {
     connection->Close();
-    OnEnd(*connection, Ending::kReset);
+    OnClosed(*connection, CloseReason::kReset);
   }
   SuspectConnection(node, handle, loop_->Now() - timeouts_.dial);
   return true;
@@ -204,12 +204,12 @@
 void NodeConnectionPool::SendStopRequest(TaskId id, Handle* sent_on, NodeConnection* node_connection) {
   ++counters.task_stops_sent;
   *sent_on = node_connection->transport->tag;
-  Writer(node_connection->transport->out(), Type::kRelease, id).Add(Cause::kCancelled);
+  Writer(node_connection->transport->write_queue(), Type::kRelease, id).Add(Cause::kCancelled);
 }
 
 void NodeConnectionPool::SendOrphanStop(TaskId id, NodeConnection* node_connection) {
   ++counters.orphaned_tasks_stopped;
-  Writer(node_connection->transport->out(), Type::kRelease, id).Add(Cause::kCancelled);
+  Writer(node_connection->transport->write_queue(), Type::kRelease, id).Add(Cause::kCancelled);
 }
 
 }  // namespace cluster_manager
--- a/src/nodes/health_checks.cpp
+++ b/src/nodes/health_checks.cpp
@@ -57,7 +57,7 @@
 void NodeConnectionPool::SendHealthCheck(HealthCheck* health_check, NodeConnection* node_connection) {
   ++counters.health_checks_sent;
   health_check->connection = node_connection->transport->tag;
-  Writer(node_connection->transport->out(), Type::kHealthCheck, health_check->id)
+  Writer(node_connection->transport->write_queue(), Type::kHealthCheck, health_check->id)
       .Add(Cause::kHealthCheckPassed);
 }
 
--- a/src/nodes/message_handling.cpp
+++ b/src/nodes/message_handling.cpp
@@ -41,7 +41,7 @@
     ++counters.malformed;
     Log("node %u: malformed or unexpected message, closing the connection", node);
     connection.Close();
-    OnEnd(connection, Ending::kReset);
+    OnClosed(connection, CloseReason::kReset);
     return consumed;
   }
   node_connection = connections_.Get(handle);
@@ -59,7 +59,7 @@
   if (node_connection == nullptr) return;
   node_connection->timer = 0;
   Connection& connection = *node_connection->transport;
-  const Time since = connection.unfinished_since;
+  const Time since = connection.incomplete_message_since;
   if (since == 0) return;
   if (loop_->Now() - since < kUnfinishedMessageTimeout) {
     node_connection->timer =
@@ -69,7 +69,7 @@
   ++counters.unfinished;
   Log("node %u: message incomplete after the time limit, closing the connection", node_connection->node);
   connection.Close();
-  OnEnd(connection, Ending::kReset);
+  OnClosed(connection, CloseReason::kReset);
 }
 
 // Records received bytes in the node's failure detector, and stops the orphaned tasks of the node, which were
@@ -120,7 +120,7 @@
   }
   // A message cannot refer to a request that is still in the write queue or was sent on another connection:
   // it is a duplicate that belongs to an earlier attempt.
-  const bool still_queued = sent->second.loop_iteration == loop_->turn();
+  const bool still_queued = sent->second.loop_iteration == loop_->iteration();
   if (still_queued || sent->second.connection != handle) {
     ++counters.node_replies_unmatched;
     return false;
--- a/tests/basic_components_test.cpp
+++ b/tests/basic_components_test.cpp
@@ -5,7 +5,7 @@
 #include "config/config.h"
 #include "containers/slot_table.h"
 #include "dispatch/ports.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 #include "protocol/message.h"
 
 namespace cluster_manager {
@@ -34,7 +34,7 @@
   });
   const Handle cancelled = wheel.Schedule(start + 3 * kMs, [&] { ran += 'x'; });
   wheel.Cancel(cancelled);
-  CHECK(wheel.Next() <= start + 2 * kMs);
+  CHECK(wheel.NextDeadline() <= start + 2 * kMs);
   wheel.Advance(start + 2 * kMs);
   CHECK(ran == "a");
   wheel.Advance(start + 10 * kMs);
@@ -43,7 +43,7 @@
   CHECK(ran == "acb");
   wheel.Advance(start + 90 * kSecond);  // more than one rotation without a call
   CHECK(ran == "acbd");
-  CHECK(wheel.Next() == -1);
+  CHECK(wheel.NextDeadline() == -1);
 }
 
 TEST_CASE("a truncated message is not decoded at any length") {
--- a/tests/compatibility_config_test.cpp
+++ b/tests/compatibility_config_test.cpp
@@ -17,7 +17,7 @@
 #include "config/config.h"
 #include "config/config_error.h"
 #include "config/config_validation.h"
-#include "discovery/roster.h"
+#include "discovery/endpoint_list.h"
 
 namespace cluster_manager {
 namespace {
@@ -102,11 +102,11 @@
     Add(c.known_list.value("no", -1));
     for (const json& event : c.known_list.value("items", json::array())) {
       EndpointList::Change change;
-      Add(static_cast<int>(list.Apply(event, EndpointList::Gap::kAccept, &change)), change.full,
+      Add(static_cast<int>(list.Apply(event, EndpointList::GapPolicy::kAccept, &change)), change.full,
           change.version);
-      for (const ConfigIssue& wrong : change.wrong) Add(FormatIssue(wrong));
+      for (const ConfigIssue& wrong : change.problems) Add(FormatIssue(wrong));
     }
-    for (const ListedNode& node : list.All().nodes) {
+    for (const ListedNode& node : list.FullList().nodes) {
       const scheduling::NodeEntry& entry = node.entry;
       Add(node.endpoint, entry.node, static_cast<int>(entry.state), entry.kind, entry.zone, entry.rack);
       Add(entry.started_at, entry.free_cores, entry.free_memory, entry.nominal_capacity);
@@ -226,12 +226,12 @@
   const Config c = ReadConfig(Read("router_config.json"));
   EndpointList list(c.zones, c.node_kinds);
   EndpointList::Change change;
-  REQUIRE(list.Apply(c.known_list["items"][0], EndpointList::Gap::kRefuse, &change) ==
-          EndpointList::Verdict::kTaken);
+  REQUIRE(list.Apply(c.known_list["items"][0], EndpointList::GapPolicy::kReject, &change) ==
+          EndpointList::ApplyResult::kApplied);
   CHECK(change.full);
   CHECK(change.version == 17);
-  CHECK(list.last() == 3);
-  CHECK(list.Lists("s-00000001"));
+  CHECK(list.last_event() == 3);
+  CHECK(list.Contains("s-00000001"));
   REQUIRE(change.nodes.size() == 1);
   const ListedNode& node = change.nodes[0];
   CHECK(node.endpoint == "10.1.0.9:3868");
--- a/tests/connection_races_test.cpp
+++ b/tests/connection_races_test.cpp
@@ -23,12 +23,12 @@
     if (on_data) on_data(connection);
     return data.size();
   }
-  void OnEnd(Connection&, Ending reason) override {
+  void OnClosed(Connection&, CloseReason reason) override {
     ending = reason;
     if (on_end) on_end();
   }
   std::string received;
-  std::optional<Ending> ending;
+  std::optional<CloseReason> ending;
   std::function<void(Connection&)> on_data;
   std::function<void()> on_end;
 };
@@ -80,13 +80,13 @@
   TcpPair pair;
   pair.PeerWrites("the answer");
   pair.PeerResets();
-  *pair.connection->out() += "a request that crosses it";
+  *pair.connection->write_queue() += "a request that crosses it";
   pair.connection->Flush();
   CHECK_FALSE(pair.connection->up());
   pair.Run();
   CHECK(pair.handler.received == "the answer");
   REQUIRE(pair.handler.ending);
-  CHECK(*pair.handler.ending == Ending::kReset);
+  CHECK(*pair.handler.ending == CloseReason::kReset);
 }
 
 TEST_CASE("after a failed write nothing is queued and the connection ends once") {
@@ -99,7 +99,7 @@
   pair.PeerResets();
   const std::uint64_t before = counters.writes_failed;
   for (int i = 0; i < 3; ++i) {
-    *pair.connection->out() += "more";
+    *pair.connection->write_queue() += "more";
     pair.connection->Flush();
     CHECK(pair.connection->flushed());
   }
@@ -111,28 +111,28 @@
 TEST_CASE("the end of the stream after the received bytes is detected without another read") {
   TcpPair pair;
   pair.PeerWrites("a request");
-  std::optional<Incoming> ahead;
-  pair.handler.on_data = [&](Connection& connection) { ahead = connection.LookAhead(); };
+  std::optional<InputState> ahead;
+  pair.handler.on_data = [&](Connection& connection) { ahead = connection.PeekInput(); };
   SUBCASE("closed") {
     pair.PeerCloses();
     pair.Run();
     REQUIRE(ahead);
-    CHECK(*ahead == Incoming::kEnd);
+    CHECK(*ahead == InputState::kEnd);
   }
   SUBCASE("half closed") {
     REQUIRE(::shutdown(pair.peer, SHUT_WR) == 0);
     pair.Run();
     REQUIRE(ahead);
-    CHECK(*ahead == Incoming::kEnd);
+    CHECK(*ahead == InputState::kEnd);
   }
   SUBCASE("open") {
     pair.handler.on_data = [&](Connection& connection) {
-      ahead = connection.LookAhead();
+      ahead = connection.PeekInput();
       pair.loop.Stop();
     };
     pair.Run();
     REQUIRE(ahead);
-    CHECK(*ahead == Incoming::kNothing);
+    CHECK(*ahead == InputState::kNone);
   }
 }
 
@@ -148,12 +148,12 @@
   const auto check = [&](const Connection& connection, const Recorder& recorder) {
     if (!recorder.received.empty()) return;  // its event was handled first: no data is left to detect
     ++checked;
-    CHECK(connection.LookAhead() == Incoming::kBytes);
+    CHECK(connection.PeekInput() == InputState::kBytes);
   };
   first.handler.on_data = [&](Connection&) { check(second, handler); };
   handler.on_data = [&](Connection&) { check(*first.connection, first.handler); };
   first.PeerWrites("one");
-  *other.connection->out() += "two";
+  *other.connection->write_queue() += "two";
   other.connection->Flush();
   first.loop.After(50 * kMs, [&] { first.loop.Stop(); });
   first.loop.Run();
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -42,14 +42,14 @@
     program->Owner().NothingElse();
   }
   void UpdateEndpointList(const json& nodes_listed) {
-    discovery.Tell(nodes_listed);
-    program->Counted("discovery_events", discovery.told());
+    discovery.AddEvent(nodes_listed);
+    program->Counted("discovery_events", discovery.event_count());
   }
   // Ends the discovery stream and refuses connections until ReopenDiscovery().
   void CloseDiscovery() {
     discovery.Stop();
     discovery_port.Close();
-    program->Logged("bulletin: closed");
+    program->Logged("discovery: closed");
   }
   void ReopenDiscovery() {
     discovery_port.Open();
--- a/tests/discovery_reconfiguration_test.cpp
+++ b/tests/discovery_reconfiguration_test.cpp
@@ -6,7 +6,7 @@
 namespace cluster_manager::story {
 namespace {
 
-struct DiscoveryReconfigurationTest : Watched {
+struct DiscoveryReconfigurationTest : DiscoveryFixture {
   Port new_discovery;
 
   void Reload(const std::string& discovery_address, const json& items = json::array()) {
@@ -21,30 +21,30 @@
 TEST_CASE_FIXTURE(DiscoveryReconfigurationTest,
                   "events of the old discovery stream before the change of address are applied once and "
                   "later ones are ignored") {
-  Watch();
-  const json drain_event = Event(2, json::array({First("terminating")}));
+  StartAndServeList();
+  const json drain_event = Event(2, json::array({FirstNode("terminating")}));
   program->Signal(SIGSTOP);
-  stream->Raw(Told(drain_event));
+  stream->Raw(EventText(drain_event));
   Reload(new_discovery.endpoint());
   program->Signal(SIGCONT);
-  program->Logged("configuration read again");
+  program->Logged("configuration reloaded");
   Wire new_stream = new_discovery.Accept();
   const std::string http_request = new_stream.Bytes();
   // The event is read before or after the signal: the new stream is requested from there on.
   const bool event_was_read = http_request.find("Last-Event-ID: 2\r\n") != std::string::npos;
   CHECK((event_was_read || http_request.find("Last-Event-ID: 1\r\n") != std::string::npos));
   CHECK(stream->Closed());
-  new_stream.Raw(std::string(kStreamHead) + Told(drain_event) +
-                 Told(Event(3, json::array({Second("in_service", 4)}))));
+  new_stream.Raw(std::string(kStreamHead) + EventText(drain_event) +
+                 EventText(Event(3, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 2);
   program->Counted("discovery_retries", 0);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
 TEST_CASE_FIXTURE(DiscoveryReconfigurationTest,
                   "a partial event of the old discovery stream is not continued by the new one") {
-  Watch();
-  const std::string event = Told(Event(2, json::array({First("terminating")})));
+  StartAndServeList();
+  const std::string event = EventText(Event(2, json::array({FirstNode("terminating")})));
   stream->Raw(event.substr(0, 30));
   CHECK(Passes());
   Reload(new_discovery.endpoint());
@@ -55,22 +55,22 @@
   new_stream.Raw(event);
   program->Counted("discovery_events", 1);
   program->Counted("discovery_events_invalid", 0);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
 TEST_CASE_FIXTURE(DiscoveryReconfigurationTest,
                   "the new discovery address is used immediately while the old one is unreachable") {
-  Watch();
+  StartAndServeList();
   bulletin.Close();
   stream->Close();
   program->Counted("discovery_disconnects", 4);  // the backoff before the next dial is at least 0.8 s
   Reload(new_discovery.endpoint());
   CHECK(new_discovery.Dialled(500));
-  Wire new_stream = Serve(&new_discovery, 1);
-  new_stream.Raw(Told(Event(2, json::array({First("terminating")}))));
+  Wire new_stream = AcceptStream(&new_discovery, 1);
+  new_stream.Raw(EventText(Event(2, json::array({FirstNode("terminating")}))));
   program->Counted("discovery_events", 1);
   program->Counted("discovery_connects", 2);
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
   // No further connection is made: a later fetch is answered by the stream that is open.
   for (int i = 0; i < 8; ++i) {
     new_stream.Raw(": here\n\n");
@@ -81,37 +81,37 @@
 TEST_CASE_FIXTURE(
     DiscoveryReconfigurationTest,
     "events of a new configuration file are applied once and ignored when the stream repeats them") {
-  Watch();
-  const json drain_event = Event(2, json::array({First("terminating")}));
-  Reload(bulletin.endpoint(), {Event(1, {First(), Second()}, true), drain_event});
-  program->Logged("configuration read again");
-  Goes(kTask, &second);
-  stream->Raw(Told(drain_event) + Told(Event(3, json::array({Second("in_service", 4)}))));
+  StartAndServeList();
+  const json drain_event = Event(2, json::array({FirstNode("terminating")}));
+  Reload(bulletin.endpoint(), {Event(1, {FirstNode(), SecondNode()}, true), drain_event});
+  program->Logged("configuration reloaded");
+  ExpectTaskAt(kTask, &second);
+  stream->Raw(EventText(drain_event) + EventText(Event(3, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 1);
   program->Counted("discovery_connects", 1);
 }
 
 TEST_CASE_FIXTURE(DiscoveryReconfigurationTest,
                   "an event that is missing in a new configuration file is applied from the stream") {
-  Watch();
-  const json drain_event = Event(2, json::array({First("terminating")}));
+  StartAndServeList();
+  const json drain_event = Event(2, json::array({FirstNode("terminating")}));
   const json third_event = Event(3, json::array({Node("s-00000003", first.endpoint(), 1)}));
   Reload(bulletin.endpoint(), json::array({third_event}));
-  program->Logged("configuration read again");
-  stream->Raw(Told(drain_event) + Told(third_event));
+  program->Logged("configuration reloaded");
+  stream->Raw(EventText(drain_event) + EventText(third_event));
   program->Counted("discovery_events", 2);
   program->Counted("roster", 3, "size ");
-  Goes(kTask, &second);
+  ExpectTaskAt(kTask, &second);
 }
 
 TEST_CASE_FIXTURE(DiscoveryReconfigurationTest,
                   "a configuration file with an invalid endpoint list changes nothing at all") {
-  Watch();
+  StartAndServeList();
   json config = program->config();
   config["bulletin"] = new_discovery.endpoint();
   config["settings"]["Services"][0]["Name"] = "batch";
   json& items = config["known"]["items"];
-  items.push_back(Event(2, {First("terminating"), Second()}));
+  items.push_back(Event(2, {FirstNode("terminating"), SecondNode()}));
   std::string expected_error;
   SUBCASE("an unknown state") {
     items[1]["roster"]["targets"][1]["state"] = "lost";
@@ -140,14 +140,14 @@
   }
   program->Configure(config.dump());
   program->Signal(SIGHUP);
-  program->Logged("configuration not read again");
+  program->Logged("configuration reload failed");
   program->Logged(expected_error);
   CHECK_FALSE(new_discovery.Dialled());
   Wire client = program->Owner();
   Ask(&client, kTask, "batch");
   CHECK(client.Hear(Type::kRelease, kTask).cause == 47);
-  Goes(kOther, &first);
-  stream->Raw(Told(Event(2, json::array({Second("in_service", 4)}))));
+  ExpectTaskAt(kOther, &first);
+  stream->Raw(EventText(Event(2, json::array({SecondNode("in_service", 4)}))));
   program->Counted("discovery_events", 1);
   program->Counted("discovery_connects", 1);
 }
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -34,8 +34,8 @@
   task.payload = std::string("\x00\x64run\n\x80", 7);
   task.class_end = 3;
   handover.tasks.push_back(task);
-  handover.ends.push_back({9, 17, TaskEnd::kCompleted});
-  handover.ends.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
+  handover.completions.push_back({9, 17, TaskEnd::kCompleted});
+  handover.completions.push_back({10, HandedOverCompletion::kAnyNode, TaskEnd::kAborted});
   return handover;
 }
 
@@ -51,9 +51,9 @@
   CHECK(parsed.task.cores == expected.task.cores);
   CHECK(parsed.payload == expected.payload);
   CHECK(parsed.class_end == expected.class_end);
-  REQUIRE(handover.ends.size() == 2);
-  CHECK(handover.ends[0].over == TaskEnd::kCompleted);
-  CHECK(handover.ends[1].node == HandedOverCompletion::kAnyNode);
+  REQUIRE(handover.completions.size() == 2);
+  CHECK(handover.completions[0].end == TaskEnd::kCompleted);
+  CHECK(handover.completions[1].node == HandedOverCompletion::kAnyNode);
 }
 
 TEST_CASE("a truncated or invalid handover text yields no tasks and no completions") {
@@ -61,7 +61,7 @@
   for (std::size_t i = 0; i + 2 < text.size(); ++i) {
     const Handover parsed = ParseHandover(text.substr(0, i));
     CHECK(parsed.tasks.empty());
-    CHECK(parsed.ends.empty());
+    CHECK(parsed.completions.empty());
   }
   std::string invalid = text;
   invalid.replace(invalid.find("\"class_end\":3"), 13, "\"class_end\":9");
--- a/tests/settings_story_test.cpp
+++ b/tests/settings_story_test.cpp
@@ -88,10 +88,10 @@
   json config = With(program, {Service("safe", "pure"), Service("batch", "pure")});
   config["bulletin"] = "127.0.0.1:9";
   std::string text, message;
-  SUBCASE("empty") { message = "configuration not read again: "; }
+  SUBCASE("empty") { message = "configuration reload failed: "; }
   SUBCASE("cut short") {
     text = config.dump().substr(0, 200);
-    message = "configuration not read again: ";
+    message = "configuration reload failed: ";
   }
   SUBCASE("a deadline below 0") {
     config["settings"]["Services"][1]["Deadline"] = -5;
@@ -111,7 +111,7 @@
   SUBCASE("settings that the module cannot work with") {
     config["settings"]["FamilyInfo"]["CoresByKind"] = {0};
     text = config.dump();
-    message = "configuration not read again: ";
+    message = "configuration reload failed: ";
   }
   program.Configure(text);
   program.Signal(SIGHUP);
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -106,9 +106,9 @@
   }
   // Sends the whole endpoint list and waits until all cluster managers have applied it.
   void UpdateEndpointList(const std::vector<json>& nodes) {
-    list.Tell(json(nodes), true);
+    list.AddEvent(json(nodes), true);
     for (const auto& program : programs) {
-      program->Counted("discovery_events", list.told());
+      program->Counted("discovery_events", list.event_count());
       KeepConnections();
     }
   }
--- a/tests/structures_test.cpp
+++ b/tests/structures_test.cpp
@@ -13,7 +13,7 @@
 #include "containers/callback.h"
 #include "containers/ratio_index.h"
 #include "containers/tables.h"
-#include "net/wheel.h"
+#include "net/timer_wheel.h"
 
 namespace cluster_manager {
 namespace {
@@ -307,7 +307,7 @@
     }
     std::ranges::stable_sort(reference, {}, &ReferenceDeadline::tick);
     REQUIRE(wheel.size() == reference.size());
-    if (!reference.empty()) REQUIRE(wheel.Next() <= reference.front().tick * TimerWheel::kTick);
+    if (!reference.empty()) REQUIRE(wheel.NextDeadline() <= reference.front().tick * TimerWheel::kTick);
     now += static_cast<Time>(random() % (random() % 50 == 0 ? 20 * kSecond : 8 * kMs));
     ran.clear();
     wheel.Advance(now);
--- a/tests/unread_completion_test.cpp
+++ b/tests/unread_completion_test.cpp
@@ -54,7 +54,7 @@
 
 // The same if the process is paused, after earlier checks have found the completion delivered. This failed
 // when the event loop took a poll that was ended by SIGCONT for a complete one: EventLoop::polled_at() was
-// the time after the call, so that Connection::LookAhead() reported that nothing had arrived without asking
+// the time after the call, so that Connection::PeekInput() reported that nothing had arrived without asking
 // the kernel. The log of the failing runs shows `counter completions_resent 0`, and `call poll 0` for all
 // checks.
 TEST_CASE_FIXTURE(UnreadCompletionTest,
