--- a/src/admin/admin.cpp
+++ b/src/admin/admin.cpp
@@ -85,13 +85,13 @@
       Answer(handle, admin::HandleCall(request.method(), request.target(), operations_));
       break;
     case Request::ParseResult::kMalformed:
-      Answer(handle, ErrorReply(400, std::string("malformed HTTP/1.1 request: ") + request.problem()));
+      Answer(handle, ErrorReply(400, std::string("this is no HTTP/1.1 request: ") + request.problem()));
       break;
     case Request::ParseResult::kHeadTooLong:
       Answer(handle, ErrorReply(431, "the request line and the headers are over 8 KiB; send fewer headers"));
       break;
     case Request::ParseResult::kBodyTooLong:
-      Answer(handle, ErrorReply(413, "the body is over 8 KiB; no call needs a body"));
+      Answer(handle, ErrorReply(413, "the body is over 8 KiB; no call here needs one"));
       break;
   }
   return data.size();
@@ -110,9 +110,8 @@
 
 void Admin::OnCallTimeout(Handle handle) {
   ++counters.admin_late;
-  Answer(handle, ErrorReply(408,
-                            "no complete request was received within 2 s of connecting; send it as soon as "
-                            "the connection is up"));
+  Answer(handle,
+         ErrorReply(408, "no whole call came within 2 s of connecting; send one as soon as you connect"));
 }
 
 void Admin::Remove(Handle handle) {
--- a/src/admin/calls.cpp
+++ b/src/admin/calls.cpp
@@ -60,8 +60,7 @@
 }
 
 Reply MethodNotAllowed(std::string_view method, std::string_view path, const char* allow) {
-  Reply reply =
-      ErrorReply(405, std::string(method) + " is not allowed for " + Quoted(path) + "; use " + allow);
+  Reply reply = ErrorReply(405, std::string(method) + " is no method of " + Quoted(path) + "; use " + allow);
   reply.allow = allow;
   return reply;
 }
@@ -69,8 +68,8 @@
 Reply HandleNodeCall(std::string_view encoded_id, bool suspend, OperatorCalls* operations) {
   const std::optional<std::string> id = PercentDecode(encoded_id);
   if (!id)
-    return ErrorReply(
-        400, "the id " + Quoted(encoded_id) + " holds a % that is not followed by two hexadecimal digits");
+    return ErrorReply(400,
+                      "in the id " + Quoted(encoded_id) + " a % is followed by no two hexadecimal digits");
   if (id->empty())
     return ErrorReply(400, "the agent's id is empty; write it between /v1/agents/ and the call");
   if (id->size() > kMaxIdBytes) {
@@ -113,7 +112,8 @@
 Reply HandleCall(std::string_view method, std::string_view target, OperatorCalls* operations) {
   const std::optional<std::string_view> path = PathOf(method, target);
   if (!path)
-    return ErrorReply(400, "the target " + Quoted(target) + " is malformed; write a path such as /v1/readyz");
+    return ErrorReply(400,
+                      "the target " + Quoted(target) + " cannot be read; write a path such as /v1/readyz");
   const bool is_read = method == "GET" || method == "HEAD", is_write = method == "POST";
   if (*path == "/v1/readyz") {
     if (!is_read) return MethodNotAllowed(method, *path, kReadMethods);
@@ -131,8 +131,7 @@
       operations->Drain();
     } else if (!operations->Activate()) {
       return ErrorReply(503,
-                        "this process is stopping since SIGTERM and cannot be activated; call the process "
-                        "that replaces it");
+                        "this process is stopping, since SIGTERM, and serves nobody new; call the next one");
     }
     return {200, ToText({{"draining", drain}}), nullptr};
   }
